--- a/sesamecross/fakes/order_desk_player.py
+++ b/sesamecross/fakes/order_desk_player.py
@@ -270,7 +270,7 @@
             self._born_ms,
             self.engine.held(),
         )
-        self.state.directory.saw(entry, self._now_s)
+        self.state.directory.update_entry(entry, self._now_s)
         self._remember()
 
     def _remember(self) -> None:
--- a/sesamecross/fakes/placement_samples.py
+++ b/sesamecross/fakes/placement_samples.py
@@ -1,8 +1,8 @@
 """Small inputs of a plan, for tests of the placement of models."""
 
 from sesamecross.core import serving
-from sesamecross.ops.fleet import engine_ledger
-from sesamecross.ops.fleet import placement_data as data
+from sesamecross.ops.fleet import engine_inventory
+from sesamecross.ops.fleet import placement_types as data
 
 NAMES = ("busy", "rare", "other", "idle", "stays", "stays-too")
 SIZES = dict.fromkeys(NAMES, 40.0)
@@ -21,11 +21,11 @@
 
 def engine(name: str, *models: str) -> data.Engine:
     """Returns an engine that has held some models for long."""
-    ledger = engine_ledger.EngineLedger(name, 1)
-    ledger.models.update(models)
-    ledger.is_certain = True
-    ledger.loaded_s = dict.fromkeys(models, -100.0)
-    return data.Engine(ledger, free_for_order=True, is_leaving=False)
+    inventory = engine_inventory.EngineInventory(name, 1)
+    inventory.models.update(models)
+    inventory.is_fully_known = True
+    inventory.loaded_s = dict.fromkeys(models, -100.0)
+    return data.Engine(inventory, can_take_order=True, is_leaving=False)
 
 
 def demand(rate: float, load: float = 0.1) -> data.ModelDemand:
--- a/sesamecross/gateway/app.py
+++ b/sesamecross/gateway/app.py
@@ -27,9 +27,9 @@
 from sesamecross.gateway import store_proxy
 from sesamecross.gateway import sweeper
 from sesamecross.gateway import sync
-from sesamecross.ops.fleet import reach
-from sesamecross.ops.fleet import reading
+from sesamecross.ops.fleet import reachability
 from sesamecross.ops.fleet import stopping
+from sesamecross.ops.fleet import store_polling
 from sesamecross.ports import dialect as dialect_lib
 from sesamecross.ports import store
 from sesamecross.runtime import logs
@@ -146,7 +146,7 @@
             adapter.upstreams_topic,
             known.upstreams,
             self._rng,
-            reading.READ_EVERY_S,
+            store_polling.READ_INTERVAL_S,
             self.mesh.reads_store,
             self.mesh.store_pause_s,
         )
@@ -208,9 +208,9 @@
         failing = []
         for known in self.state.directory:
             name = known.entry.instance_id
-            state = known.reach.state(now_s)
-            if known.own_running or state is not reach.State.UNKNOWN:
-                told = reach.Reports().plus(state)
+            state = known.reachability.state(now_s)
+            if known.own_running or state is not reachability.State.UNKNOWN:
+                told = reachability.ReachabilityCounts().plus(state)
                 loads.append(
                     fm.UpstreamLoad(
                         name,
--- a/sesamecross/gateway/app_test.py
+++ b/sesamecross/gateway/app_test.py
@@ -239,7 +239,9 @@
         app.state.offer(CONFIGURATION)
         app.state.has_upstreams = True
         entry = serving.Upstream("u1", "s", f"{host}:{port}", "z1", 9, False, 1)
-        app.state.directory.saw(entry, asyncio.get_running_loop().time())
+        app.state.directory.update_entry(
+            entry, asyncio.get_running_loop().time()
+        )
     played = Played(app, upstream, tree, app.front.address)
     async with asyncio.timeout(HANG_S):
         yield played
@@ -662,8 +664,8 @@
                     CONFIGURATION, version=2, routes=(), services={}
                 )
             )
-            state.directory.keep_only((), -1000.0)
-            swept = state.directory.forget_gone(
+            state.directory.lapse_unlisted((), -1000.0)
+            swept = state.directory.remove_lapsed(
                 asyncio.get_running_loop().time()
             )
             for known in state.directory:
@@ -716,7 +718,7 @@
     only looked at as a request arrived, and an engine began on what the kill
     would cut off.
     """
-    monkeypatch.setattr(stopping, "ACCEPT_S", 0.0)
+    monkeypatch.setattr(stopping, "ACCEPT_ALL_S", 0.0)
     found = asyncio.Event()
 
     async def play():
--- a/sesamecross/gateway/attempt.py
+++ b/sesamecross/gateway/attempt.py
@@ -12,7 +12,7 @@
 
 from sesamecross.core import serving
 from sesamecross.gateway import event_relay
-from sesamecross.ops.fleet import attempts
+from sesamecross.ops.fleet import retry_policy
 from sesamecross.ports import dialect as dialect_lib
 
 # An answer that is held whole; services answer with kilobytes.
@@ -33,7 +33,7 @@
     """A stream that came to its end and was passed on."""
 
 
-Outcome = Whole | Streamed | attempts.Failure
+Outcome = Whole | Streamed | retry_policy.Failure
 
 
 class Attempt:
@@ -84,7 +84,7 @@
         self._said = said
         is_good = 200 <= status < 300
         if is_good and (said.is_encoded or not said.has_signature):
-            self._settle(attempts.Lost("a success without its proof"))
+            self._settle(retry_policy.Lost("a success without its proof"))
         elif is_good and self._relay is not None and said.is_event_stream:
             self._is_stream = True
             self._relay.begin_run(status, self._headers)
@@ -98,11 +98,11 @@
             try:
                 self._relay.feed(data)
             except event_relay.WrongEvent as error:
-                self._settle(attempts.Lost(str(error)))
+                self._settle(retry_policy.Lost(str(error)))
             return
         self._size += len(data)
         if self._size > ANSWER_MOST_BYTES:
-            self._settle(attempts.Lost("the answer is too large"))
+            self._settle(retry_policy.Lost("the answer is too large"))
         else:
             self._pieces.append(data)
 
@@ -112,7 +112,7 @@
             if self._relay.is_between_events:
                 self._settle(Streamed())
             else:
-                self._settle(attempts.Lost("the stream ended in an event"))
+                self._settle(retry_policy.Lost("the stream ended in an event"))
             return
         self._settle(self._whole())
 
@@ -120,7 +120,7 @@
         said = self._said
         if said.was_not_run:
             is_here = said.instance_id in ("", self._instance_id)
-            return attempts.NotRun(
+            return retry_policy.NotRun(
                 self._status,
                 is_absent=said.is_misdirected and is_here,
                 is_other=said.is_misdirected and not is_here,
@@ -129,7 +129,7 @@
 
     def on_broken(self, reason: str) -> None:
         """The answer will never be complete."""
-        self._settle(attempts.Lost(reason))
+        self._settle(retry_policy.Lost(reason))
 
     def _settle(self, outcome: Outcome) -> None:
         if not self.ended.done():
--- a/sesamecross/gateway/catalog.py
+++ b/sesamecross/gateway/catalog.py
@@ -17,7 +17,7 @@
 
 from sesamecross.core import serving
 from sesamecross.gateway import state as state_lib
-from sesamecross.ops.fleet import raw_catalog
+from sesamecross.ops.fleet import topic_records
 from sesamecross.ports import store
 from sesamecross.runtime import logs
 
@@ -37,7 +37,7 @@
         self._key = key
         self._decode = decode
         self._log = logs.part("configuration")
-        self.raw = raw_catalog.RawCatalog()
+        self.raw = topic_records.TopicRecords()
 
     @property
     def end(self) -> int:
@@ -75,7 +75,7 @@
 
     def on_reached(self, end: int) -> None:
         """All records before `end` were taken in."""
-        self.raw.reached(end)
+        self.raw.advance_end(end)
 
 
 class UpstreamSink:
@@ -87,7 +87,7 @@
         self._state = state
         self._decode = decode
         self._log = logs.part("upstreams")
-        self.raw = raw_catalog.RawCatalog()
+        self.raw = topic_records.TopicRecords()
 
     @property
     def end(self) -> int:
@@ -119,7 +119,7 @@
             return
         known = directory.get(record.key)
         before = known.entry if known is not None else None
-        if directory.saw(entry, now_s):
+        if directory.update_entry(entry, now_s):
             self._state.touch()
             # What it holds changes with each order, at each upstream and for
             # each instance: 23,000 lines in 50 s. The orders are logged.
@@ -144,7 +144,7 @@
 
     def on_reached(self, end: int) -> None:
         """All records before `end` were taken in."""
-        self.raw.reached(end)
+        self.raw.advance_end(end)
         self._state.upstreams_offset = self.raw.end
         self._state.has_upstreams = True
 
--- a/sesamecross/gateway/catalog_test.py
+++ b/sesamecross/gateway/catalog_test.py
@@ -14,7 +14,7 @@
 from sesamecross.gateway import catalog
 from sesamecross.gateway import follower
 from sesamecross.gateway import state as state_lib
-from sesamecross.ops.fleet import choosing
+from sesamecross.ops.fleet import service_choice
 from sesamecross.platform import catalog as decoders
 from sesamecross.platform import catalog_test as damage
 from sesamecross.ports import store
@@ -193,7 +193,7 @@
         for host in ("", "h.example", "H.example:80", ":", "x:y"):
             route = state.routes.find(host, path)
             if route is not None:
-                state.retry_window(route).spend(1.0, None)
+                state.retry_budget(route).spend(1.0, None)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -227,9 +227,9 @@
     assert known.upstreams.end == len(entries)
     usable = state.directory.usable("s", 1e9)
     rng = random.Random(1)
-    choosing.choose(usable, state.place, 1e9, rng)
-    state.directory.leaving("s", 1.0, 1e9)
-    state.directory.forget_gone(1e9)
+    service_choice.choose(usable, state.location, 1e9, rng)
+    state.directory.usable_while_leaving("s", 1.0, 1e9)
+    state.directory.remove_lapsed(1e9)
 
 
 def test_a_table_of_routes_that_fails_leaves_the_configuration_in_force(
--- a/sesamecross/gateway/engine_search.py
+++ b/sesamecross/gateway/engine_search.py
@@ -16,7 +16,7 @@
 from sesamecross.ops.fleet import demand as demand_lib
 from sesamecross.ops.fleet import directory
 from sesamecross.ops.fleet import engine_choice
-from sesamecross.ops.fleet import patience
+from sesamecross.ops.fleet import wait_policy
 
 # A request that waits for a model says so again this often.
 WANT_AGAIN_S = 0.25
@@ -37,11 +37,11 @@
 
     state: state_lib.State
     rng: random.Random
-    demand: demand_lib.Demand = dataclasses.field(
-        default_factory=demand_lib.Demand
+    demand: demand_lib.DemandMeter = dataclasses.field(
+        default_factory=demand_lib.DemandMeter
     )
-    missing: patience.Missing = dataclasses.field(
-        default_factory=patience.Missing
+    missing: wait_policy.MissedModels = dataclasses.field(
+        default_factory=wait_policy.MissedModels
     )
     want: Callable[[str, str, str], None] = _nobody
     pacing: pacing_lib.Pacing | None = None
@@ -128,11 +128,11 @@
                 if self._has_another():
                     continue
                 # A model whose callers are turned away needs more engines.
-                self._parts.demand.ended(self.key, True)
+                self._parts.demand.record_outcome(self.key, True)
                 return None
             if self._is_still_good(choice.upstream):
                 self.choice = choice
-                self._parts.demand.sent(self.key, choice.read_s)
+                self._parts.demand.record_prompt(self.key, choice.read_s)
                 return choice.upstream
             self.release()
 
@@ -156,7 +156,7 @@
         self, tried: frozenset[str], now_s: float
     ) -> engine_choice.Choice | None:
         """Returns the best engine, one that leaves only as the last choice."""
-        place = self._parts.state.place
+        location = self._parts.state.location
         rng = self._parts.rng
         usable = self._usable()
         fresh = [one for one in usable if one.entry.instance_id not in tried]
@@ -165,20 +165,24 @@
             for known in fresh or usable
             if known.entry.instance_id not in self._full
         ]
-        choice = engine_choice.choose(self._call, candidates, place, now_s, rng)
+        choice = engine_choice.choose(
+            self._call, candidates, location, now_s, rng
+        )
         if choice is not None:
             return choice
-        leaving = []
+        usable_while_leaving = []
         for target in self._route.targets:
-            known = self._parts.state.directory.leaving(
+            known = self._parts.state.directory.usable_while_leaving(
                 target.service, self._lasts_s, now_s
             )
-            leaving.extend(known)
-        return engine_choice.choose(self._call, leaving, place, now_s, rng)
+            usable_while_leaving.extend(known)
+        return engine_choice.choose(
+            self._call, usable_while_leaving, location, now_s, rng
+        )
 
     @property
     def _lasts_s(self) -> float:
-        return self._call.output_tokens * engine_choice.TOKEN_S
+        return self._call.output_tokens * engine_choice.TOKEN_INTERVAL_S
 
     def _is_still_good(self, known: directory.KnownUpstream) -> bool:
         """Whether an engine may get the request now that its turn has come.
@@ -187,8 +191,10 @@
         meanwhile must get nothing new, and one may have dropped the model.
         """
         now_s = asyncio.get_running_loop().time()
-        takes = self._parts.state.directory.takes(known, self._lasts_s, now_s)
-        return takes and known.engine.holds(
+        may_receive = self._parts.state.directory.may_receive(
+            known, self._lasts_s, now_s
+        )
+        return may_receive and known.engine.holds(
             known.entry, self._call.target, now_s
         )
 
@@ -220,37 +226,42 @@
             engine = choice.upstream.entry.instance_id
             parts.want(service, self._call.target, engine)
         decision = self._decide(choice, now_s)
-        if isinstance(decision, patience.ComeBack):
+        if isinstance(decision, wait_policy.RetryAfter):
             self.back_s = decision.after_s
             return False
-        parts.demand.waits(self.key, 1)
+        parts.demand.adjust_waiting(self.key, 1)
         try:
             await parts.state.changed(
                 min(WANT_AGAIN_S, decision.until_s - now_s)
             )
         finally:
-            parts.demand.waits(self.key, -1)
+            parts.demand.adjust_waiting(self.key, -1)
             self._waited_s += asyncio.get_running_loop().time() - now_s
         return True
 
     def _decide(
         self, choice: engine_choice.Choice | None, now_s: float
-    ) -> patience.Wait | patience.ComeBack:
-        window = patience.Window(
+    ) -> wait_policy.Wait | wait_policy.RetryAfter:
+        window = wait_policy.RequestTimes(
             self._arrived_s,
-            patience.leaves_s(self._route, self._arrived_s, self._ends_s),
+            wait_policy.send_deadline_s(
+                self._route, self._arrived_s, self._ends_s
+            ),
             self._ends_s,
         )
         if choice is not None:
-            return patience.decide_adapter(window, now_s)
+            return wait_policy.decide_adapter(window, now_s)
         missed_s = self._parts.missing.since(self._call.model, now_s)
         self._expected_s = self._arrives_s()
-        return patience.decide_model(window, self._expected_s, missed_s, now_s)
+        return wait_policy.decide_model(
+            window, self._expected_s, missed_s, now_s
+        )
 
     def _arrives_s(self) -> float | None:
         """Returns when the model is expected, where it is loaded or planned."""
         times = [
-            known.engine.arrives_s(self._call.model) for known in self._usable()
+            known.engine.ready_at_s(self._call.model)
+            for known in self._usable()
         ]
         return min((one for one in times if one is not None), default=None)
 
@@ -258,19 +269,23 @@
         """Waits until the engine may get one more prompt to read."""
         loop = asyncio.get_running_loop()
         route = self._route
-        leaves_s = patience.leaves_s(route, self._arrived_s, self._ends_s)
+        send_deadline_s = wait_policy.send_deadline_s(
+            route, self._arrived_s, self._ends_s
+        )
         begun_s = loop.time()
         answer = await self._parts.pacing.ask(
             choice.upstream,
-            choice.fresh_tokens,
+            choice.uncached_tokens,
             self._arrived_s + route.objective_s - choice.expected_s,
-            leaves_s,
+            send_deadline_s,
         )
         now_s = loop.time()
         self._paced_s += now_s - begun_s
         match answer:
             case pacing_lib.Refused(after_s=after_s):
-                self.back_s = patience.back_s(after_s, self._ends_s, now_s)
+                self.back_s = wait_policy.retry_after_s(
+                    after_s, self._ends_s, now_s
+                )
                 self._full.add(choice.upstream.entry.instance_id)
                 return False
         self._permit = answer
@@ -300,7 +315,7 @@
         }
         if self.choice is not None:
             fields["expected_ms"] = round(self.choice.expected_s * 1000)
-            fields["prompt"] = self.choice.fresh_tokens
-            fields["ahead"] = self.choice.ahead_tokens
+            fields["prompt"] = self.choice.uncached_tokens
+            fields["ahead"] = self.choice.queued_tokens
             fields["running"] = round(self.choice.running)
         return fields
--- a/sesamecross/gateway/event_relay.py
+++ b/sesamecross/gateway/event_relay.py
@@ -88,7 +88,7 @@
         whole += end
         now_s = asyncio.get_running_loop().time()
         if self.upstream is not None:
-            self.upstream.reach.heard(now_s)
+            self.upstream.reachability.record_contact(now_s)
         if self.first_s is None:
             self.first_s = now_s
         else:
--- a/sesamecross/gateway/follower.py
+++ b/sesamecross/gateway/follower.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from sesamecross.gateway import store_client
-from sesamecross.ops.fleet import reading
+from sesamecross.ops.fleet import store_polling
 from sesamecross.ports import store
 from sesamecross.runtime import logs
 
@@ -69,7 +69,9 @@
         rng: random.Random,
         every_s: float = 0.0,
         reads: Callable[[], bool] = lambda: True,
-        longest_pause_s: Callable[[], float] = lambda: reading.READER_PAUSE_S,
+        longest_pause_s: Callable[[], float] = lambda: (
+            store_polling.READER_MAX_BACKOFF_S
+        ),
     ):
         """Sets the follower up.
 
--- a/sesamecross/gateway/follower_test.py
+++ b/sesamecross/gateway/follower_test.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from sesamecross.gateway import follower
-from sesamecross.ops.fleet import raw_catalog
+from sesamecross.ops.fleet import topic_records
 from sesamecross.ports import store
 
 
@@ -17,7 +17,7 @@
     """Keeps the newest record of each key."""
 
     def __init__(self) -> None:
-        self.raw = raw_catalog.RawCatalog()
+        self.raw = topic_records.TopicRecords()
 
     @property
     def end(self) -> int:
@@ -31,7 +31,7 @@
             self.raw.take(store.KeyedRecord(key, None, end - 1))
 
     def on_reached(self, end) -> None:
-        self.raw.reached(end)
+        self.raw.advance_end(end)
 
     def values(self) -> dict[str, bytes]:
         return {
--- a/sesamecross/gateway/forwarder.py
+++ b/sesamecross/gateway/forwarder.py
@@ -19,10 +19,10 @@
 from sesamecross.gateway import pool as pool_lib
 from sesamecross.gateway import prompt as prompt_lib
 from sesamecross.gateway import state as state_lib
-from sesamecross.ops.fleet import attempts
-from sesamecross.ops.fleet import choosing
 from sesamecross.ops.fleet import directory
 from sesamecross.ops.fleet import engine_state
+from sesamecross.ops.fleet import retry_policy
+from sesamecross.ops.fleet import service_choice
 from sesamecross.ops.fleet import stopping
 from sesamecross.ops.fleet import target_uses
 from sesamecross.ports import dialect as dialect_lib
@@ -165,7 +165,7 @@
         self._route: serving.Route | None = None
         self._arrived_s = asyncio.get_running_loop().time()
         self._ends_s = 0.0
-        self._progress = attempts.Progress()
+        self._progress = retry_policy.AttemptHistory()
         self._relay: event_relay.EventRelay | None = None
         self._connection: client_connection.ClientConnection | None = None
         self._upstream: directory.KnownUpstream | None = None
@@ -213,7 +213,7 @@
         if self._exchange.is_over:
             return "caller gone"
         self._note = f"{self._note} the stop's time is over".strip()
-        if self._exchange.is_begun or self._progress.ran_at:
+        if self._exchange.is_begun or self._progress.possibly_ran_at:
             return self._fail(502)
         self._back_s = 0.0
         return self._refuse(0.0)
@@ -293,10 +293,10 @@
                 self._arrived_s,
                 self._ends_s,
             )
-            self._owner.engines.demand.asked(
+            self._owner.engines.demand.record_request(
                 self._search.key,
                 self._arrived_s,
-                engine_state.first_read_s(request.call),
+                engine_state.estimate_prefill_s(request.call),
             )
         if self._route.kind is serving.RouteKind.STREAM:
             self._relay = event_relay.EventRelay(self._exchange)
@@ -305,7 +305,7 @@
     async def _until_answered(self) -> str:
         loop = asyncio.get_running_loop()
         state = self._owner._state
-        window = state.retry_window(self._route)
+        window = state.retry_budget(self._route)
         window.request(loop.time())
         while True:
             upstream = await self._choose()
@@ -321,7 +321,7 @@
                     is_last = not self._may_replace(whole)
                     if is_last:
                         return self._deliver(whole)
-                    failure = attempts.FailedThere(whole.status)
+                    failure = retry_policy.FailedThere(whole.status)
                 case attempt_lib.Streamed():
                     self._relay.finish()
                     self._note_place()
@@ -333,14 +333,14 @@
             may_spend = self._progress.sends == 0 or window.spend(
                 loop.time(), state.instances
             )
-            match attempts.after_failure(
+            match retry_policy.decide_after_failure(
                 self._route, failure, self._progress, may_spend
             ):
-                case attempts.Next.DELIVER:
+                case retry_policy.NextAction.DELIVER:
                     return self._deliver(whole)
-                case attempts.Next.REFUSE:
+                case retry_policy.NextAction.REFUSE:
                     return self._give_up("refused everywhere")
-                case attempts.Next.FAIL:
+                case retry_policy.NextAction.FAIL:
                     return self._fail(502)
 
     def _is_too_late(self) -> bool:
@@ -350,7 +350,11 @@
         moment ago, as they arrived. What has run anywhere goes on.
         """
         stop = self._owner.stop
-        if stop is None or self._search is None or self._progress.ran_at:
+        if (
+            stop is None
+            or self._search is None
+            or self._progress.possibly_ran_at
+        ):
             return False
         now_s = asyncio.get_running_loop().time()
         return not stop.has_time_for(self._route, self._request.call, now_s)
@@ -369,8 +373,8 @@
         fresh = [
             one for one in usable if one.entry.instance_id not in self._tried
         ]
-        return choosing.choose(
-            fresh or usable, state.place, now_s, self._owner._rng
+        return service_choice.choose(
+            fresh or usable, state.location, now_s, self._owner._rng
         )
 
     def _may_replace(self, whole: attempt_lib.Whole) -> bool:
@@ -390,7 +394,7 @@
 
     def _give_up(self, why: str) -> str:
         self._note = f"{self._note} {why}".strip()
-        if self._progress.ran_at:
+        if self._progress.possibly_ran_at:
             return self._fail(502)
         return self._refuse(self._back_s)
 
@@ -398,7 +402,7 @@
         if self._exchange.is_begun:
             self._exchange.cut()
             return "cut at its time"
-        if self._progress.ran_at:
+        if self._progress.possibly_ran_at:
             return self._fail(504)
         return self._refuse(RETRY_AFTER_S)
 
@@ -422,13 +426,13 @@
                     address, begun_s, left_s
                 )
             except OSError as error:
-                upstream.health.failed(loop.time())
+                upstream.health.record_failure(loop.time())
                 if isinstance(error, ConnectionRefusedError):
-                    upstream.reach.refused(loop.time())
+                    upstream.reachability.record_refusal(loop.time())
                 else:
-                    upstream.reach.silent(loop.time())
+                    upstream.reachability.record_timeout(loop.time())
                 self._owner._pool.drop(address)
-                return attempts.NotSent(str(error) or type(error).__name__)
+                return retry_policy.NotSent(str(error) or type(error).__name__)
             outcome = await self._send(upstream, connection)
         finally:
             upstream.own_running -= 1
@@ -481,7 +485,7 @@
         headers = self._owner._dialect.to_upstream(request, passing)
         self._connection = connection
         self._progress.sends += 1
-        self._progress.ran_at.add(entry.instance_id)
+        self._progress.possibly_ran_at.add(entry.instance_id)
         connection.send(
             client_connection.request_bytes(
                 request.method, request.path, headers, request.body
@@ -495,11 +499,11 @@
             return None
         self._connection = None
         outcome = one.ended.result()
-        if isinstance(outcome, attempts.NotRun):
-            self._progress.ran_at.discard(entry.instance_id)
+        if isinstance(outcome, retry_policy.NotRun):
+            self._progress.possibly_ran_at.discard(entry.instance_id)
         if self._relay is not None and self._relay.events:
             self._progress.has_output = True
-        if isinstance(outcome, attempts.Lost):
+        if isinstance(outcome, retry_policy.Lost):
             connection.abort()
         else:
             self._owner._pool.give(entry.address, connection)
@@ -513,28 +517,28 @@
     ) -> None:
         now_s = asyncio.get_running_loop().time()
         if not isinstance(
-            outcome, (attempts.Lost, attempts.NotSent, type(None))
+            outcome, (retry_policy.Lost, retry_policy.NotSent, type(None))
         ):
-            upstream.reach.heard(now_s)
+            upstream.reachability.record_contact(now_s)
         match outcome:
             case attempt_lib.Whole(status):
                 if status >= 500:
-                    upstream.health.failed(now_s)
+                    upstream.health.record_failure(now_s)
                 else:
-                    upstream.health.worked(now_s)
-                    upstream.learn_work(took_s)
+                    upstream.health.record_success(now_s)
+                    upstream.record_duration(took_s)
             case attempt_lib.Streamed():
-                upstream.health.worked(now_s)
-            case attempts.NotRun(is_absent=True):
+                upstream.health.record_success(now_s)
+            case retry_policy.NotRun(is_absent=True):
                 call = self._request.call
                 if call is not None:
                     upstream.engine.absent[call.target] = now_s
-            case attempts.NotRun(is_other=True):
+            case retry_policy.NotRun(is_other=True):
                 self._owner._state.directory.replaced(
                     upstream.entry.instance_id
                 )
-            case attempts.NotRun() | attempts.Lost():
-                upstream.health.failed(now_s)
+            case retry_policy.NotRun() | retry_policy.Lost():
+                upstream.health.record_failure(now_s)
 
     def _note_place(self) -> None:
         """Tells how long the request took a place in an engine's batch."""
@@ -542,7 +546,7 @@
         if search is None:
             return
         took_s = asyncio.get_running_loop().time() - self._arrived_s
-        self._owner.engines.demand.took_place(
+        self._owner.engines.demand.record_service_time(
             search.key, max(0.0, took_s - search.held_s)
         )
 
@@ -563,7 +567,7 @@
         was_late = (
             first_s > self._route.objective_s or relay.gap_s > self._route.gap_s
         )
-        self._owner.engines.demand.ended(search.key, was_late)
+        self._owner.engines.demand.record_outcome(search.key, was_late)
 
     def _report(self, outcome: str) -> None:
         took_s = asyncio.get_running_loop().time() - self._arrived_s
--- a/sesamecross/gateway/lease_keeper.py
+++ b/sesamecross/gateway/lease_keeper.py
@@ -78,7 +78,7 @@
         self._probed_s = 0.0
         self._held = False
         self.release_s = RELEASE_S
-        self.machine: lease_lib.LeaseMachine | None = None
+        self.machine: lease_lib.LeaseStateMachine | None = None
 
     @property
     def may_order(self) -> bool:
@@ -105,7 +105,7 @@
         """The holder's port refuses connections: its process is over."""
         if self.machine is not None:
             self._log.info("holder's process is over", holder=holder.name)
-            self.machine.holder_gone(
+            self.machine.holder_exited(
                 holder.name, holder.incarnation, suspended_clock()
             )
 
@@ -117,7 +117,7 @@
                 continue
             me = self._mesh.roster.me
             if self.machine is None:
-                self.machine = lease_lib.LeaseMachine(
+                self.machine = lease_lib.LeaseStateMachine(
                     me.name, me.incarnation, self._gap_s(), suspended_clock()
                 )
             self.machine.gap_s = self._gap_s()
@@ -175,11 +175,11 @@
         heard = self._holder_heard()
         if not heard:
             await self._look_for_death(now_s)
-        step = self.machine.next_step(now_s, self._rank(), heard)
+        step = self.machine.next_action(now_s, self._rank(), heard)
         match step:
-            case lease_lib.Look():
+            case lease_lib.ReadLease():
                 await self._look()
-            case lease_lib.Write(at, fence):
+            case lease_lib.WriteLease(at, fence):
                 await self._write(at, fence)
         self._tell()
 
@@ -219,14 +219,14 @@
         if holder is None:
             return
         if holder.incarnation > record.incarnation:
-            self.machine.holder_gone(record.holder, record.incarnation, now_s)
+            self.machine.holder_exited(record.holder, record.incarnation, now_s)
             return
         if now_s - self._probed_s < PROBE_EVERY_S:
             return
         self._probed_s = now_s
         if await _refuses(holder.address):
             self._log.info("holder's process is over", holder=record.holder)
-            self.machine.holder_gone(
+            self.machine.holder_exited(
                 record.holder, record.incarnation, suspended_clock()
             )
 
--- a/sesamecross/gateway/lease_keeper_test.py
+++ b/sesamecross/gateway/lease_keeper_test.py
@@ -24,15 +24,15 @@
 START_S = 1000.0
 
 
-def first_order_s(machine: lease_lib.LeaseMachine) -> float:
+def first_order_s(machine: lease_lib.LeaseStateMachine) -> float:
     """Lets the machine take the lease; returns the gap that it kept."""
     end = FREE.offset + 1
     for tenth in range(200):
         now_s = START_S + tenth / 10
-        match machine.next_step(now_s, 0, False):
-            case lease_lib.Look():
+        match machine.next_action(now_s, 0, False):
+            case lease_lib.ReadLease():
                 machine.read(FREE, end, now_s)
-            case lease_lib.Write():
+            case lease_lib.WriteLease():
                 machine.written(end)
                 end += 1
         if machine.may_order(now_s):
--- a/sesamecross/gateway/mesh.py
+++ b/sesamecross/gateway/mesh.py
@@ -16,11 +16,11 @@
 
 from sesamecross.core import fleet_messages as fm
 from sesamecross.gateway import state as state_lib
-from sesamecross.ops.fleet import figures
 from sesamecross.ops.fleet import health
-from sesamecross.ops.fleet import reach
-from sesamecross.ops.fleet import reading
+from sesamecross.ops.fleet import reachability
+from sesamecross.ops.fleet import report_totals
 from sesamecross.ops.fleet import roster as roster_lib
+from sesamecross.ops.fleet import store_polling
 from sesamecross.runtime import logs
 from sesamecross.runtime import metrics as metrics_lib
 
@@ -69,14 +69,15 @@
 
 
 def _others_reports(
-    all_of: reach.Reports | None, own: reach.Reports | None
-) -> reach.Reports:
+    all_of: reachability.ReachabilityCounts | None,
+    own: reachability.ReachabilityCounts | None,
+) -> reachability.ReachabilityCounts:
     """Returns the counts over all instances less the own ones."""
     if all_of is None:
-        return reach.Reports()
+        return reachability.ReachabilityCounts()
     if own is None:
         return all_of
-    return reach.Reports(
+    return reachability.ReachabilityCounts(
         max(0, all_of.hears - own.hears),
         max(0, all_of.silent - own.silent),
         max(0, all_of.refused - own.refused),
@@ -123,8 +124,8 @@
         self.transport: asyncio.DatagramTransport | None = None
         self.roster: roster_lib.Roster | None = None
         self._secret = b""
-        self._reports = figures.Latest()
-        self._summaries = figures.Latest()
+        self._reports = report_totals.LatestMessages()
+        self._summaries = report_totals.LatestMessages()
         self._number = 0
         self._sent: dict[int, fm.Report] = {}
         self._last_report: fm.Report | None = None
@@ -136,7 +137,7 @@
         self._view_s = 0.0
         self._viewed: dict[str, float] = {}
         self._hub = ""
-        self._hub_reading = reading.Hub()
+        self._hub_reading = store_polling.HubProgress()
         self._called_s = 0.0
         self._placed = (-1, -1, -1)
         self._listeners: list[MessageListener] = []
@@ -239,7 +240,7 @@
             return
         now_s = asyncio.get_running_loop().time()
         data = self._seal(message)
-        for zone in self._state.place.regions:
+        for zone in self._state.location.regions:
             hub = self.roster.hub_of(zone, now_s)
             if hub == self.roster.me.name:
                 self._pass_on(data, message.me.name, now_s)
@@ -284,12 +285,12 @@
     def store_pause_s(self) -> float:
         """Returns the longest pause between calls that the store refuses."""
         if self.roster is None:
-            return reading.READER_PAUSE_S
+            return store_polling.READER_MAX_BACKOFF_S
         now_s = asyncio.get_running_loop().time()
         hub = self.roster.hub_of(self.roster.me.zone, now_s)
         if hub == self.roster.me.name or not self.roster.is_alive(hub, now_s):
-            return reading.READER_PAUSE_S
-        return reading.MEMBER_PAUSE_S
+            return store_polling.READER_MAX_BACKOFF_S
+        return store_polling.MEMBER_MAX_BACKOFF_S
 
     def _tell_hub(self, now_s: float) -> None:
         me = self.roster.me
@@ -299,7 +300,7 @@
             self._hub = hub
             self._last_report = None
         report = self._report()
-        is_due = now_s - self._reported_s >= roster_lib.HEARTBEAT_S
+        is_due = now_s - self._reported_s >= roster_lib.HEARTBEAT_INTERVAL_S
         if not is_due and self._says_same(report):
             return
         self._number += 1
@@ -335,7 +336,7 @@
         if not zones:
             return
         reports = self._reports.fresh(now_s)
-        sums = figures.add_up(reports)
+        sums = report_totals.aggregate(reports)
         lease = self._lease_news(now_s)
         orders_from = self._zone_of_holder(lease)
         short = fm.Summary(
@@ -370,7 +371,7 @@
 
     def _zones_due(self, now_s: float) -> list[str]:
         """Returns the zones whose hubs are told something now."""
-        regions = self._state.place.regions
+        regions = self._state.location.regions
         own = self.roster.me.zone
         zones = []
         for zone in regions:
@@ -387,7 +388,7 @@
         if not members or now_s < self._view_s:
             return
         sources = self._reports.fresh(now_s) + self._summaries.fresh(now_s)
-        sums = figures.add_up(sources)
+        sums = report_totals.aggregate(sources)
         listed = []
         if now_s - self._listed_s >= LIST_S:
             self._listed_s = now_s
@@ -396,7 +397,7 @@
         view = fm.View(
             self.me,
             self.next_number(),
-            {one.name: self._reports.number_of(one.name) for one in members},
+            {one.name: self._reports.last_number(one.name) for one in members},
             listed,
             sums.loads(),
             [],
@@ -422,7 +423,7 @@
         # A little less, as the loop's own pause is a little longer.
         self._view_s = now_s + rest_s - TELL_S / 2
 
-    def _listed(self, sources: list[figures.Source]) -> list[fm.Member]:
+    def _listed(self, sources: list[report_totals.Source]) -> list[fm.Member]:
         listed = {self.me.name: self.me}
         for source in sources:
             members = [source.me]
@@ -552,14 +553,16 @@
     def _on_view(self, message: fm.View, now_s: float) -> None:
         if message.me.zone == self.roster.me.zone:
             hub = message.me
-            self._hub_reading.spoke(hub.name, hub.upstreams, now_s)
+            self._hub_reading.record_position(hub.name, hub.upstreams, now_s)
         for member in message.members:
             self.roster.heard(member, now_s)
         self._hear_lease(message.lease, now_s)
         number = message.taken.get(self.roster.me.name, 0)
         taken = self._sent.get(number)
         own = [taken] if taken is not None else []
-        self._set_others(figures.add_up([message]), figures.add_up(own))
+        self._set_others(
+            report_totals.aggregate([message]), report_totals.aggregate(own)
+        )
 
     # -- beliefs -------------------------------------------------------
 
@@ -569,9 +572,13 @@
             return
         sources = self._reports.fresh(now_s) + self._summaries.fresh(now_s)
         own = [self._last_report] if self._last_report is not None else []
-        self._set_others(figures.add_up(sources), figures.add_up(own))
+        self._set_others(
+            report_totals.aggregate(sources), report_totals.aggregate(own)
+        )
 
-    def _set_others(self, all_of: figures.Sums, own: figures.Sums) -> None:
+    def _set_others(
+        self, all_of: report_totals.Totals, own: report_totals.Totals
+    ) -> None:
         """Sets what others do at upstreams: all there is but the own."""
         for known in self._state.directory:
             name = known.entry.instance_id
@@ -580,7 +587,7 @@
             tokens -= own.prompt_tokens.get(name, 0)
             known.others_running = max(0, running)
             known.engine.others_prompt_tokens = max(0, tokens)
-            known.others_reports = _others_reports(
+            known.others_reachability = _others_reports(
                 all_of.reports.get(name), own.reports.get(name)
             )
             known.others_outcomes = _others(
--- a/sesamecross/gateway/order_books.py
+++ b/sesamecross/gateway/order_books.py
@@ -18,8 +18,8 @@
 from sesamecross.gateway import engine_client
 from sesamecross.gateway import state as state_lib
 from sesamecross.ops.fleet import directory as directory_lib
-from sesamecross.ops.fleet import engine_ledger
-from sesamecross.ops.fleet import placement_data
+from sesamecross.ops.fleet import engine_inventory
+from sesamecross.ops.fleet import placement_types
 from sesamecross.runtime import logs
 from sesamecross.runtime import metrics as metrics_lib
 
@@ -78,7 +78,7 @@
       conflicts: Orders in a row that met a conflict.
     """
 
-    ledger: engine_ledger.EngineLedger
+    inventory: engine_inventory.EngineInventory
     is_calling: bool = False
     ask_s: float = 0.0
     look_s: float = 0.0
@@ -86,10 +86,10 @@
 
     def is_free(self, now_s: float) -> bool:
         """Whether an order may be given now."""
-        is_loading = any("/" not in one for one in self.ledger.arriving)
+        is_loading = any("/" not in one for one in self.inventory.arriving)
         return (
             not self.is_calling
-            and self.ledger.is_certain
+            and self.inventory.is_fully_known
             and not is_loading
             and now_s >= self.ask_s
         )
@@ -98,10 +98,10 @@
         """Whether something isn't known, or overdue."""
         is_overdue = any(
             "/" not in target and at_s + OVERDUE_S <= now_s
-            for target, at_s in self.ledger.arriving.items()
+            for target, at_s in self.inventory.arriving.items()
         )
         is_refused = self.conflicts >= CONFLICTS_ASKED
-        return not self.ledger.is_certain or is_overdue or is_refused
+        return not self.inventory.is_fully_known or is_overdue or is_refused
 
 
 class OrderBooks:
@@ -168,20 +168,22 @@
         for entry in engines:
             seen.add(entry.instance_id)
             book = self._books.get(entry.instance_id)
-            if book is None or book.ledger.born_ms != entry.born_ms:
+            if book is None or book.inventory.born_ms != entry.born_ms:
                 book = Book(
-                    engine_ledger.EngineLedger(entry.instance_id, entry.born_ms)
+                    engine_inventory.EngineInventory(
+                        entry.instance_id, entry.born_ms
+                    )
                 )
                 self.engine_came_s = now_s
                 self._books[entry.instance_id] = book
-            book.ledger.entry(entry)
+            book.inventory.apply_entry(entry)
         for instance_id in set(self._books) - seen:
             del self._books[instance_id]
 
     def advance(self, now_s: float) -> None:
         """Takes adapters whose time is over for arrived."""
         for book in self._books.values():
-            book.ledger.expected(now_s)
+            book.inventory.complete_due_adapters(now_s)
 
     # -- questions -----------------------------------------------------
 
@@ -191,7 +193,9 @@
             if book.is_calling or now_s < book.ask_s:
                 continue
             is_in_doubt = book.is_in_doubt(now_s)
-            departs = book.ledger.departing_adapters() and now_s >= book.look_s
+            departs = (
+                book.inventory.departing_adapters() and now_s >= book.look_s
+            )
             if not is_in_doubt and not departs:
                 continue
             known = self._state.directory.get(instance_id)
@@ -214,15 +218,15 @@
         if report is None:
             book.ask_s = loop.time() + 2 * ASK_AGAIN_S
             return
-        before = book.ledger.orders
-        was_heard = book.ledger.is_heard
-        book.ledger.report(report, asked_s, loop.time())
+        before = book.inventory.orders
+        was_heard = book.inventory.has_reported
+        book.inventory.apply_report(report, asked_s, loop.time())
         if book.conflicts:
             self._note_conflicts(book, before, report)
-        if was_heard and book.ledger.orders != before:
+        if was_heard and book.inventory.orders != before:
             self._log.info(
                 "books corrected",
-                upstream=book.ledger.instance_id,
+                upstream=book.inventory.instance_id,
                 books=before,
                 engine=report.orders,
             )
@@ -235,7 +239,7 @@
         cause = conflict_cause(before, report)
         self._log.warning(
             "refused in a row",
-            upstream=book.ledger.instance_id,
+            upstream=book.inventory.instance_id,
             conflicts=book.conflicts,
             why=cause.value,
             books=before,
@@ -253,7 +257,7 @@
     def note_answer(
         self,
         book: Book,
-        step: placement_data.Step,
+        step: placement_types.Step,
         answer: serving.OrderAnswer,
         sent_s: float,
         now_s: float,
@@ -267,12 +271,12 @@
           sent_s: When the order was sent.
           now_s: Monotonic time.
         """
-        ledger = book.ledger
-        loads = step.kind is placement_data.StepKind.LOAD
+        inventory = book.inventory
+        loads = step.kind is placement_types.StepKind.LOAD
         match answer:
             case serving.OrderAnswer.ACCEPTED:
                 book.conflicts = 0
-                ledger.accepted(
+                inventory.order_accepted(
                     loads, step.target, sent_s + step.takes_s, now_s
                 )
                 if not loads:
@@ -280,10 +284,10 @@
                     book.look_s = now_s + DEPARTING_S
             case serving.OrderAnswer.ALREADY:
                 book.conflicts = 0
-                ledger.already(loads, step.target, now_s)
-                if not ledger.is_certain:
+                inventory.order_already_done(loads, step.target, now_s)
+                if not inventory.is_fully_known:
                     # What was made before the answer settles nothing.
-                    book.ask_s = now_s + engine_ledger.REPORT_LAG_S
+                    book.ask_s = now_s + engine_inventory.REPORT_LAG_S
             case serving.OrderAnswer.CONFLICT:
                 # Another order is under way there, or one without an answer
                 # was carried out after all.
@@ -295,7 +299,7 @@
                 # It may be carried out at any time. Until then the books are
                 # right, and whatever is sent next bears the same number, so
                 # that only one of the two can count.
-                ledger.unanswered(step.target)
+                inventory.order_unanswered(step.target)
             case _:
-                ledger.is_certain = False
+                inventory.is_fully_known = False
                 book.ask_s = now_s + ASK_AGAIN_S
--- a/sesamecross/gateway/order_desk.py
+++ b/sesamecross/gateway/order_desk.py
@@ -17,13 +17,13 @@
 from sesamecross.gateway import order_books
 from sesamecross.gateway import placement_teller
 from sesamecross.gateway import state as state_lib
+from sesamecross.ops.fleet import demand_history
+from sesamecross.ops.fleet import duty_cycle
 from sesamecross.ops.fleet import load_budget
-from sesamecross.ops.fleet import pace
-from sesamecross.ops.fleet import placement_data
-from sesamecross.ops.fleet import placement_exchange
-from sesamecross.ops.fleet import placement_memory
 from sesamecross.ops.fleet import placement_steps
+from sesamecross.ops.fleet import placement_swaps
 from sesamecross.ops.fleet import placement_target
+from sesamecross.ops.fleet import placement_types
 from sesamecross.runtime import logs
 from sesamecross.runtime import metrics as metrics_lib
 
@@ -88,10 +88,10 @@
         )
         self._wants: dict[tuple[str, str, str], float] = {}
         self._teller = placement_teller.PlacementTeller(state, mesh)
-        self._memory = placement_memory.PlacementMemory()
+        self._memory = demand_history.DemandHistory()
         self._budgets: dict[str, load_budget.LoadBudget] = {}
         self._withdrawn: dict[tuple[str, str], float] = {}
-        self._targets: dict[str, placement_data.Target] = {}
+        self._targets: dict[str, placement_types.PlacementTarget] = {}
         # When models that wait for room are expected, by engine and model.
         self._planned: dict[str, dict[str, float]] = {}
         # When the target is looked at next, by service.
@@ -100,9 +100,9 @@
         self._failed_plans: dict[str, int] = {}
         self._is_active = False
         self._planned_s = 0.0
-        self._ticking = pace.Pace(TICK_RESTS)
-        self._planning = pace.Pace(PLAN_RESTS)
-        self._said = pace.Repeats(WANT_AGAIN_S)
+        self._ticking = duty_cycle.DutyCycle(TICK_RESTS)
+        self._planning = duty_cycle.DutyCycle(PLAN_RESTS)
+        self._said = duty_cycle.Cooldown(WANT_AGAIN_S)
         self._begun_s = 0.0
         self._calls: set[asyncio.Task] = set()
         self._wake = asyncio.Event()
@@ -188,13 +188,13 @@
             withdrawn.setdefault(instance_id, set()).add(model)
         places = [
             placement_teller.place_of(
-                book.ledger,
+                book.inventory,
                 withdrawn.get(instance_id, set()),
                 self._planned.get(instance_id, {}),
                 now_s,
             )
             for instance_id, book in self._books.items()
-            if book.ledger.is_heard
+            if book.inventory.has_reported
         ]
         self._teller.tell(places, self._lease.fence, now_s)
 
@@ -260,14 +260,14 @@
     # -- planning ------------------------------------------------------
 
     def _plan(self, now_s: float) -> None:
-        by_service: dict[str, list[placement_data.Engine]] = {}
+        by_service: dict[str, list[placement_types.Engine]] = {}
         for instance_id, book in self._books.items():
             known = self._state.directory.get(instance_id)
             if known is None:
                 continue
             by_service.setdefault(known.entry.service, []).append(
-                placement_data.Engine(
-                    book.ledger,
+                placement_types.Engine(
+                    book.inventory,
                     book.is_free(now_s),
                     known.is_leaving or known.is_down(now_s),
                 )
@@ -297,7 +297,7 @@
     def _plan_service(
         self,
         service: str,
-        engines: tuple[placement_data.Engine, ...],
+        engines: tuple[placement_types.Engine, ...],
         now_s: float,
     ) -> None:
         spec = self._engine_spec(service)
@@ -306,7 +306,7 @@
         loading = sum(
             1
             for engine in engines
-            for target, at_s in engine.ledger.arriving.items()
+            for target, at_s in engine.inventory.arriving.items()
             if "/" not in target and target in self._memory.from_store
         )
         demand = self._memory.demand(
@@ -314,12 +314,18 @@
             spec,
             self._state.fleet_demand,
             self._state.fleet_uses,
-            {name for engine in engines for name in engine.ledger.all_models()},
+            {
+                name
+                for engine in engines
+                for name in engine.inventory.all_models()
+            },
             self._wants,
             now_s,
         )
-        known_s = min(now_s - self._begun_s, self._memory.known_s(now_s))
-        inputs = placement_data.Inputs(
+        demand_age_s = min(
+            now_s - self._begun_s, self._memory.demand_age_s(now_s)
+        )
+        inputs = placement_types.Inputs(
             spec,
             engines,
             demand,
@@ -327,15 +333,15 @@
             self._withdrawals(now_s),
             self._targets.get(service, {}),
             tuple(
-                placement_data.AdapterWant(upstream, target)
+                placement_types.AdapterWant(upstream, target)
                 for (of, target, upstream) in self._wants
                 if of == service and upstream and "/" in target
             ),
             store_loads=(
                 max(0, at_once - loading) if budget.allows(now_s) else 0
             ),
-            knows_demand=known_s >= DEMAND_S,
-            knows_engines=now_s - self._books.engine_came_s >= ENGINES_S,
+            is_demand_known=demand_age_s >= DEMAND_S,
+            are_engines_known=now_s - self._books.engine_came_s >= ENGINES_S,
             now_s=now_s,
             used_s=self._memory.last_used(self._state.fleet_uses, now_s),
         )
@@ -343,27 +349,29 @@
         steps = placement_steps.steps(inputs, target)
         self._serve_again(service, steps)
         for step in steps:
-            if step.kind is placement_data.StepKind.WITHDRAW:
+            if step.kind is placement_types.StepKind.WITHDRAW:
                 self._withdraw(step, now_s)
             elif not step.from_store or budget.allows(now_s):
                 self._give(service, step, budget, now_s)
 
     def _target(
-        self, service: str, inputs: placement_data.Inputs
-    ) -> placement_data.Target:
+        self, service: str, inputs: placement_types.Inputs
+    ) -> placement_types.PlacementTarget:
         """Returns what engines should hold; looks at it anew now and then."""
         now_s = inputs.now_s
         if now_s < self._aim_s.get(service, 0.0):
             return self._targets[service]
-        if inputs.knows_demand:
-            target = placement_target.target(inputs)
+        if inputs.is_demand_known:
+            target = placement_target.plan_target(inputs)
         else:
             # What models are worth is not known: only free room is filled.
-            target = placement_target.fill(inputs)
+            target = placement_target.fill_free_room(inputs)
         if self._targets.get(service) != target:
             self._log_target(service, inputs, target)
         self._targets[service] = target
-        for name, waits in placement_exchange.expected(inputs, target).items():
+        for name, waits in placement_swaps.ready_times_s(
+            inputs, target
+        ).items():
             self._planned[name] = {
                 model: now_s + wait_s for model, wait_s in waits.items()
             }
@@ -374,8 +382,8 @@
     def _log_target(
         self,
         service: str,
-        inputs: placement_data.Inputs,
-        target: placement_data.Target,
+        inputs: placement_types.Inputs,
+        target: placement_types.PlacementTarget,
     ) -> None:
         self._log.info(
             "target",
@@ -384,15 +392,15 @@
             asked={
                 name: f"{one.rate:.1f}/s load {one.load:.2f}"
                 for name, one in sorted(inputs.demand.items())
-                if one.is_asked
+                if one.is_in_demand
             },
         )
 
     def _serve_again(
-        self, service: str, steps: list[placement_data.Step]
+        self, service: str, steps: list[placement_types.Step]
     ) -> None:
         """Ends the withdrawals of a service that its plan does not repeat."""
-        for key in placement_steps.serving_again(self._withdrawn, steps):
+        for key in placement_steps.withdrawals_to_end(self._withdrawn, steps):
             instance_id, target = key
             known = self._state.directory.get(instance_id)
             if known is None or known.entry.service != service:
@@ -404,7 +412,7 @@
                     "serves again", upstream=instance_id, target=target
                 )
 
-    def _withdraw(self, step: placement_data.Step, now_s: float) -> None:
+    def _withdraw(self, step: placement_types.Step, now_s: float) -> None:
         """Instances are told to send no new requests for a model there."""
         key = (step.instance_id, step.target)
         if key in self._withdrawn:
@@ -424,7 +432,7 @@
             for (instance_id, name), at_s in self._withdrawn.items()
             if now_s - at_s < WITHDRAWN_S
             and instance_id in self._books
-            and name in self._books[instance_id].ledger.models
+            and name in self._books[instance_id].inventory.models
         }
         return self._withdrawn
 
@@ -442,13 +450,13 @@
             budget = load_budget.LoadBudget(*figures, now_s)
             self._budgets[service] = budget
         # Settings and configurations change while the lease is held.
-        budget.hold_to(*figures)
+        budget.set_limits(*figures)
         return budget
 
     def _give(
         self,
         service: str,
-        step: placement_data.Step,
+        step: placement_types.Step,
         budget: load_budget.LoadBudget,
         now_s: float,
     ) -> None:
@@ -460,15 +468,15 @@
         order = serving.EngineOrder(
             step.instance_id,
             known.entry.address,
-            step.kind is placement_data.StepKind.LOAD,
+            step.kind is placement_types.StepKind.LOAD,
             model,
             adapter,
-            book.ledger.orders,
+            book.inventory.orders,
             self._mesh.roster.me.name,
             self._lease.fence,
         )
         if step.from_store:
-            budget.began(now_s)
+            budget.load_started(now_s)
             self._memory.from_store.add(step.target)
         elif "/" not in step.target:
             self._memory.from_store.discard(step.target)
@@ -478,7 +486,7 @@
     async def _order(
         self,
         book: order_books.Book,
-        step: placement_data.Step,
+        step: placement_types.Step,
         order: serving.EngineOrder,
         budget: load_budget.LoadBudget,
     ) -> None:
@@ -496,7 +504,7 @@
         now_s = loop.time()
         self._books.note_answer(book, step, answer, sent_s, now_s)
         if step.from_store and answer is serving.OrderAnswer.UNKNOWN:
-            budget.unanswered(now_s)
+            budget.load_unanswered(now_s)
         self._log.info(
             "order",
             upstream=step.instance_id,
--- a/sesamecross/gateway/order_desk_ends_test.py
+++ b/sesamecross/gateway/order_desk_ends_test.py
@@ -90,7 +90,7 @@
 
 def leaves(directory, now_s: float) -> None:
     leaving = dataclasses.replace(entry("e1"), is_leaving=True)
-    directory.saw(leaving, now_s)
+    directory.update_entry(leaving, now_s)
 
 
 def lapses(directory, now_s: float) -> None:
@@ -98,11 +98,11 @@
 
 
 def falls_silent(directory, now_s: float) -> None:
-    directory.get("e1").reach.silent(now_s)
+    directory.get("e1").reachability.record_timeout(now_s)
 
 
 def refuses(directory, now_s: float) -> None:
-    directory.get("e1").reach.refused(now_s)
+    directory.get("e1").reachability.record_refusal(now_s)
 
 
 @pytest.mark.parametrize("ends", [leaves, lapses, falls_silent, refuses])
@@ -129,7 +129,7 @@
 
     async def play() -> None:
         for name in ("e1", "e2"):
-            state.directory.saw(entry(name), now[0])
+            state.directory.update_entry(entry(name), now[0])
         desk._tick(now[0])
         for _ in range(3):
             # The reports arrive.
--- a/sesamecross/gateway/order_desk_test.py
+++ b/sesamecross/gateway/order_desk_test.py
@@ -37,7 +37,7 @@
     """Begins loads until none may; returns how many."""
     count = 0
     while desk._budget("s", spec, now_s).allows(now_s):
-        desk._budget("s", spec, now_s).began(now_s)
+        desk._budget("s", spec, now_s).load_started(now_s)
         count += 1
         assert count < 1000
     return count
@@ -131,7 +131,7 @@
         )
         now_s = 1000.0
         for one in upstreams:
-            gateway.state.directory.saw(one, now_s)
+            gateway.state.directory.update_entry(one, now_s)
         loop = asyncio.get_running_loop()
         for _ in range(steps):
             now_s += 3.0
--- a/sesamecross/gateway/pacing.py
+++ b/sesamecross/gateway/pacing.py
@@ -127,11 +127,11 @@
         permit = Permit(upstream, number, pacer)
         granted: asyncio.Future[fm.Grant] = loop.create_future()
         self._asked[number] = granted
-        distance_s = self._state.place.distance_s(known.entry.zone)
+        round_trip_s = self._state.location.round_trip_s(known.entry.zone)
         try:
             for _ in range(TRIES):
                 self._send_ask(permit, tokens, due_s, until_s)
-                wait_s = min(distance_s + ANSWER_S, until_s - loop.time())
+                wait_s = min(round_trip_s + ANSWER_S, until_s - loop.time())
                 await asyncio.wait([granted], timeout=max(0.0, wait_s))
                 if granted.done() or number in self._heard:
                     break
@@ -149,7 +149,7 @@
             self._heard.discard(number)
         if not granted.done():
             self.read(permit)
-            return Refused(pacer_lib.OVERLOAD_BACK_S)
+            return Refused(pacer_lib.OVERLOAD_RETRY_AFTER_S)
         match granted.result():
             case fm.Grant(verdict=fm.Verdict.REFUSE, after_s=after_s):
                 permit.is_open = False
@@ -172,7 +172,7 @@
         if not members:
             return None
         zone = known.entry.zone
-        regions = self._state.place.regions
+        regions = self._state.location.regions
         near = [member for member in members if member.zone == zone]
         if not near:
             region = regions.get(zone)
@@ -225,7 +225,7 @@
             case fm.Read(me=me, number=number, upstream=upstream):
                 pacer = self._pacers.get(upstream)
                 if pacer is not None:
-                    pacer.read((me.name, number))
+                    pacer.prompt_read((me.name, number))
                     self._grant(upstream)
             case fm.Grant(me=me, number=number, verdict=verdict):
                 if verdict is fm.Verdict.LEAVE:
@@ -276,7 +276,7 @@
         for name, number in decisions.granted:
             self._send(fm.Grant(me, number, fm.Verdict.SEND), name)
         for name, number in decisions.refused:
-            back_s = pacer_lib.OVERLOAD_BACK_S
+            back_s = pacer_lib.OVERLOAD_RETRY_AFTER_S
             self._send(fm.Grant(me, number, fm.Verdict.REFUSE, back_s), name)
         self._look_again(upstream)
 
@@ -289,7 +289,7 @@
         pacer = self._pacers.get(upstream)
         if pacer is None or upstream in self._timers:
             return
-        at_s = pacer.next_s(loop.time())
+        at_s = pacer.next_check_s(loop.time())
         if at_s is not None:
             self._timers[upstream] = loop.call_at(at_s, self._on_time, upstream)
 
--- a/sesamecross/gateway/pacing_test.py
+++ b/sesamecross/gateway/pacing_test.py
@@ -54,8 +54,8 @@
         self.engine = types.SimpleNamespace(entry=entry, running=slots)
         state = types.SimpleNamespace(
             directory={ENGINE: self.engine},
-            place=types.SimpleNamespace(
-                regions={"z1": "r1"}, distance_s=lambda _: 0.0
+            location=types.SimpleNamespace(
+                regions={"z1": "r1"}, round_trip_s=lambda _: 0.0
             ),
         )
         net: dict[str, _Mesh] = {}
--- a/sesamecross/gateway/placement_teller.py
+++ b/sesamecross/gateway/placement_teller.py
@@ -13,14 +13,14 @@
 from sesamecross.core import fleet_messages as fm
 from sesamecross.gateway import mesh as mesh_lib
 from sesamecross.gateway import state as state_lib
-from sesamecross.ops.fleet import engine_ledger
+from sesamecross.ops.fleet import engine_inventory
 
 # All engines' places are told anew this often, for who missed them.
 REFRESH_S = 1.5
 
 
 def place_of(
-    ledger: engine_ledger.EngineLedger,
+    inventory: engine_inventory.EngineInventory,
     withdrawn: set[str],
     planned: Mapping[str, float],
     now_s: float,
@@ -35,22 +35,22 @@
     """
     targets = {
         target
-        for target in ledger.models | ledger.adapters
+        for target in inventory.models | inventory.adapters
         if target.partition("/")[0] not in withdrawn
     }
     return fm.EnginePlace(
-        ledger.instance_id,
-        ledger.born_ms,
-        ledger.orders,
+        inventory.instance_id,
+        inventory.born_ms,
+        inventory.orders,
         sorted(targets),
         [
             (target, round(at_s - now_s, 2))
-            for target, at_s in sorted(ledger.arriving.items())
+            for target, at_s in sorted(inventory.arriving.items())
         ],
         [
             (target, round(at_s - now_s, 2))
             for target, at_s in sorted(planned.items())
-            if not ledger.holds_or_will(target)
+            if not inventory.is_held_or_loading(target)
         ],
     )
 
@@ -86,7 +86,7 @@
         for place in message.engines:
             known = self._state.directory.get(place.upstream)
             if known is not None:
-                known.engine.take_place(place, now_s)
+                known.engine.apply_placement(place, now_s)
         self._state.touch()
 
     def tell(
--- a/sesamecross/gateway/placement_teller_test.py
+++ b/sesamecross/gateway/placement_teller_test.py
@@ -7,7 +7,7 @@
 
 from sesamecross.core import fleet_messages as fm
 from sesamecross.gateway import placement_teller
-from sesamecross.ops.fleet import engine_ledger
+from sesamecross.ops.fleet import engine_inventory
 
 ME = types.SimpleNamespace(name="i1")
 OTHER = types.SimpleNamespace(name="i2")
@@ -117,12 +117,12 @@
 
 
 def test_a_withdrawn_model_is_not_told_nor_its_adapters():
-    ledger = engine_ledger.EngineLedger("e1", 7, orders=3)
-    ledger.models = {"m1", "m2"}
-    ledger.adapters = {"m1/a1", "m2/a1"}
-    ledger.arriving = {"m3": 12.5}
+    inventory = engine_inventory.EngineInventory("e1", 7, orders=3)
+    inventory.models = {"m1", "m2"}
+    inventory.adapters = {"m1/a1", "m2/a1"}
+    inventory.arriving = {"m3": 12.5}
     told = placement_teller.place_of(
-        ledger, {"m1"}, {"m2": 11.0, "m4": 14.0}, 10.0
+        inventory, {"m1"}, {"m2": 11.0, "m4": 14.0}, 10.0
     )
     assert told == fm.EnginePlace(
         "e1", 7, 3, ["m2", "m2/a1"], [("m3", 2.5)], [("m4", 4.0)]
--- a/sesamecross/gateway/prompt.py
+++ b/sesamecross/gateway/prompt.py
@@ -42,20 +42,20 @@
         self._upstream: directory.KnownUpstream = choice.upstream
         self._call = call
         self._uses = uses
-        self._tokens = choice.fresh_tokens
+        self._tokens = choice.uncached_tokens
         engine = choice.upstream.engine
         self._ahead = engine.own_prompt_tokens + engine.others_prompt_tokens
         self._begun_s = asyncio.get_running_loop().time()
         self._is_read = False
         engine.own_prompt_tokens += self._tokens
-        engine.cache.sent(call)
+        engine.cache.record_prompt(call)
         uses.begin(choice.upstream.entry.instance_id, call)
 
     def first_event(self) -> None:
         """The prompt is read; learns how long that took."""
         if self._is_read:
             return
-        self._upstream.reach.streaming += 1
+        self._upstream.reachability.streaming += 1
         self._read()
         took_ms = (asyncio.get_running_loop().time() - self._begun_s) * 1000
         line = self._upstream.engine.speed(self._call.model)
@@ -64,7 +64,7 @@
     def end(self) -> None:
         """The attempt is over, whether the prompt was read or not."""
         if self._is_read:
-            self._upstream.reach.streaming -= 1
+            self._upstream.reachability.streaming -= 1
         else:
             self._read()
         self._uses.end(self._upstream.entry.instance_id, self._call)
--- a/sesamecross/gateway/state.py
+++ b/sesamecross/gateway/state.py
@@ -11,10 +11,10 @@
 
 from sesamecross.core import fleet_messages as fm
 from sesamecross.core import serving
-from sesamecross.ops.fleet import choosing
 from sesamecross.ops.fleet import directory as directory_lib
-from sesamecross.ops.fleet import retry_window
+from sesamecross.ops.fleet import retry_budget
 from sesamecross.ops.fleet import route_table
+from sesamecross.ops.fleet import service_choice
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
     """
 
     __slots__ = (
-        "place",
+        "location",
         "bounds",
         "directory",
         "routes",
@@ -54,7 +54,9 @@
     )
 
     def __init__(self, instance: serving.Instance):
-        self.place = choosing.Place(instance.zone, dict(instance.regions))
+        self.location = service_choice.Location(
+            instance.zone, dict(instance.regions)
+        )
         self.bounds = instance.bounds
         self._instance = instance
         self.directory = directory_lib.Directory(instance.bounds.drain_s)
@@ -66,7 +68,7 @@
         self.fleet_demand: dict[tuple[str, str], fm.TargetDemand] = {}
         self.fleet_uses: dict[tuple[str, str], int] = {}
         self._changed = asyncio.Event()
-        self._windows: dict[str, retry_window.RetryWindow] = {}
+        self._windows: dict[str, retry_budget.RetryBudget] = {}
 
     def take_settings(self, instance: serving.Instance) -> SettingsChange:
         """Takes new settings in; returns what changed.
@@ -85,13 +87,15 @@
             before, bounds=instance.bounds, regions=instance.regions
         )
         if at_once:
-            self.place = choosing.Place(before.zone, dict(instance.regions))
+            self.location = service_choice.Location(
+                before.zone, dict(instance.regions)
+            )
             self.bounds = instance.bounds
             self.directory.drain_s = instance.bounds.drain_s
             for window in self._windows.values():
                 # New windows would forget what was spent, and requests under
                 # way would keep the old ones.
-                window.hold_to(*self._retry_figures())
+                window.set_limits(*self._retry_figures())
         return SettingsChange(frozenset(at_once), frozenset(changed - at_once))
 
     def touch(self) -> None:
@@ -134,14 +138,16 @@
         self.touch()
         return True
 
-    def retry_window(self, route: serving.Route) -> retry_window.RetryWindow:
+    def retry_budget(self, route: serving.Route) -> retry_budget.RetryBudget:
         """Returns the retry budget of a route's service."""
         service = route.targets[0].service if route.targets else ""
         window = self._windows.get(service)
         if window is None:
-            window = retry_window.RetryWindow(
+            window = retry_budget.RetryBudget(
                 *self._retry_figures(),
-                retry_window.part_of(f"{self._instance.name}/{service}"),
+                retry_budget.rounding_offset(
+                    f"{self._instance.name}/{service}"
+                ),
             )
             self._windows[service] = window
         return window
--- a/sesamecross/gateway/state_test.py
+++ b/sesamecross/gateway/state_test.py
@@ -49,13 +49,13 @@
     was spent is no setting, so it must outlive them.
     """
     state = state_lib.State(INSTANCE)
-    held = state.retry_window(ROUTE)
+    held = state.retry_budget(ROUTE)
     allowed = spend_all(held, 100.0)
     assert allowed > 0
     again = 0
     for number in range(1, 6):
         state.take_settings(bounds(drain_s=2.5 + number))
-        again += spend_all(state.retry_window(ROUTE), 100.0 + number)
+        again += spend_all(state.retry_budget(ROUTE), 100.0 + number)
         again += spend_all(held, 100.0 + number)
     assert again == 0
 
@@ -77,7 +77,7 @@
 ):
     """A changed retry budget did not hold for requests under way."""
     state = state_lib.State(INSTANCE)
-    held = state.retry_window(ROUTE)
+    held = state.retry_budget(ROUTE)
     for _ in range(100):
         held.request(100.0)
     assert spend_all(held, 100.0) > 0
@@ -88,6 +88,6 @@
 def test_a_smaller_retry_budget_holds_at_once():
     state = state_lib.State(INSTANCE)
     for _ in range(100):
-        state.retry_window(ROUTE).request(100.0)
+        state.retry_budget(ROUTE).request(100.0)
     state.take_settings(bounds(retry_extra=0.0, retry_share=0.0))
-    assert spend_all(state.retry_window(ROUTE), 100.0) <= 1
+    assert spend_all(state.retry_budget(ROUTE), 100.0) <= 1
--- a/sesamecross/gateway/sweeper.py
+++ b/sesamecross/gateway/sweeper.py
@@ -30,7 +30,7 @@
             await asyncio.sleep(EVERY_S)
             now_s = loop.time()
             self._pool.sweep(now_s)
-            for known in self._state.directory.forget_gone(now_s):
+            for known in self._state.directory.remove_lapsed(now_s):
                 self._pool.drop(known.entry.address)
                 self._log.info("forgotten", id=known.entry.instance_id)
 
--- a/sesamecross/gateway/sync.py
+++ b/sesamecross/gateway/sync.py
@@ -23,7 +23,7 @@
 from sesamecross.gateway import store_client
 from sesamecross.gateway import store_messages
 from sesamecross.gateway import store_proxy
-from sesamecross.ops.fleet import reading
+from sesamecross.ops.fleet import store_polling
 from sesamecross.ports import store
 from sesamecross.runtime import logs
 from sesamecross.transport import streams
@@ -142,7 +142,7 @@
         self._catalog = catalog
         self._stamper = hlc.HybridClock(clock_lib.SystemClock())
         self._log = logs.part("sync")
-        self._lag = reading.Lag()
+        self._lag = store_polling.Lag()
         self._stream: streams.Stream | None = None
         self._source = ""
 
@@ -158,11 +158,11 @@
             best = None
             if source is not None:
                 best = (source.configuration, source.upstreams)
-            lasts_s = self._lag.lasts_s(mine, best, loop.time())
-            patience_s = reading.MEMBER_PATIENCE_S
+            duration_s = self._lag.duration_s(mine, best, loop.time())
+            patience_s = store_polling.MEMBER_FETCH_DELAY_S
             if self._mesh.reads_store():
-                patience_s = reading.READER_PATIENCE_S
-            if source is not None and lasts_s >= patience_s:
+                patience_s = store_polling.READER_FETCH_DELAY_S
+            if source is not None and duration_s >= patience_s:
                 await self._pull(source)
 
     async def stop(self) -> None:
--- a/sesamecross/ops/fleet/demand.py
+++ b/sesamecross/ops/fleet/demand.py
@@ -38,7 +38,7 @@
         return self.rate * math.exp((self.at_s - now_s) / RATE_S)
 
 
-class Demand:
+class DemandMeter:
     """Meters by service and target."""
 
     __slots__ = ("_meters",)
@@ -46,7 +46,7 @@
     def __init__(self) -> None:
         self._meters: dict[Key, _Meter] = {}
 
-    def asked(self, key: Key, now_s: float, read_s: float) -> None:
+    def record_request(self, key: Key, now_s: float, read_s: float) -> None:
         """Counts a request.
 
         Args:
@@ -60,23 +60,23 @@
         meter.at_s = now_s
         meter.read_s = meter.read_s or read_s
 
-    def waits(self, key: Key, by: int) -> None:
+    def adjust_waiting(self, key: Key, by: int) -> None:
         """A request begins (1) or ends (-1) to wait for the target."""
         self._meters.setdefault(key, _Meter()).waiting += by
 
-    def ended(self, key: Key, was_late: bool) -> None:
+    def record_outcome(self, key: Key, was_late: bool) -> None:
         """Notes whether a request missed its objective."""
         meter = self._meters.setdefault(key, _Meter())
         meter.late += (float(was_late) - meter.late) * LATE_WEIGHT
 
-    def took_place(self, key: Key, lasted_s: float) -> None:
+    def record_service_time(self, key: Key, lasted_s: float) -> None:
         """Notes how long a request was at an engine, from sending to end."""
         meter = self._meters.setdefault(key, _Meter())
         if not meter.place_s:
             meter.place_s = lasted_s
         meter.place_s += (lasted_s - meter.place_s) * WORK_WEIGHT
 
-    def sent(self, key: Key, read_s: float) -> None:
+    def record_prompt(self, key: Key, read_s: float) -> None:
         """Notes how long a prompt that is sent takes to read."""
         meter = self._meters.setdefault(key, _Meter(read_s=read_s))
         meter.read_s += (read_s - meter.read_s) * WORK_WEIGHT
--- a/sesamecross/ops/fleet/placement_memory.py
+++ b/sesamecross/ops/fleet/demand_history.py
@@ -10,7 +10,7 @@
 
 from sesamecross.core import fleet_messages as fm
 from sesamecross.core import serving
-from sesamecross.ops.fleet import placement_data
+from sesamecross.ops.fleet import placement_types
 
 # A model that is asked for once in this time stays, as far as there is room.
 LONG_S = 4.0
@@ -46,7 +46,7 @@
     return max(reading, max(places, running) / max(1, spec.slots))
 
 
-class PlacementMemory:
+class DemandHistory:
     """Smoothed demand by service and model.
 
     Attributes:
@@ -73,7 +73,7 @@
         self._used_s: dict[Key, float] = {}
         self.from_store: set[str] = set()
 
-    def known_s(self, now_s: float) -> float:
+    def demand_age_s(self, now_s: float) -> float:
         """Returns for how long the demand has been as it is.
 
         That is since the first request after a long pause; while there is
@@ -81,8 +81,8 @@
         """
         return math.inf if self._awake_s is None else now_s - self._awake_s
 
-    def _note_awake(self, is_asked: bool, now_s: float) -> None:
-        if is_asked:
+    def _note_awake(self, is_in_demand: bool, now_s: float) -> None:
+        if is_in_demand:
             if self._awake_s is None:
                 self._awake_s = now_s
             self._asked_s = now_s
@@ -114,7 +114,7 @@
         held: set[str],
         wants: Mapping[tuple[str, str, str], float],
         now_s: float,
-    ) -> dict[str, placement_data.ModelDemand]:
+    ) -> dict[str, placement_types.ModelDemand]:
         """Returns the demand by model.
 
         Args:
@@ -152,7 +152,7 @@
             model = target.partition("/")[0]
             running[model] = running.get(model, 0) + count
         return {
-            name: placement_data.ModelDemand(
+            name: placement_types.ModelDemand(
                 rates.get(name, 0.0),
                 self._usual.get((service, name), 0.0),
                 _load(
--- a/sesamecross/ops/fleet/placement_memory_test.py
+++ b/sesamecross/ops/fleet/demand_history_test.py
@@ -5,8 +5,8 @@
 from sesamecross.core import fleet_messages as fm
 from sesamecross.core import serving
 from sesamecross.ops.fleet import demand as demand_lib
-from sesamecross.ops.fleet import figures
-from sesamecross.ops.fleet import placement_memory
+from sesamecross.ops.fleet import demand_history
+from sesamecross.ops.fleet import report_totals
 
 STREAM_S = 1.6
 READ_S = 0.03
@@ -19,7 +19,7 @@
     model = serving.ServedModel("m", 40.0, 2.0, 0.5, 0.3, 0, 1.0)
     spec = serving.EngineSpec(slots, 66_000, 200.0, 8, 2.0, 8, {"m": model})
     told = {KEY: fm.TargetDemand("s", "m", rate, 0, 0.0, place_s, read_s)}
-    demand = placement_memory.PlacementMemory().demand(
+    demand = demand_history.DemandHistory().demand(
         "s", spec, told, {("e1", "m"): running}, {"m"}, {}, 100.0
     )
     return demand["m"].load
@@ -57,27 +57,27 @@
 
 
 def test_how_long_prompts_take_to_read_is_learned_and_a_guess_before():
-    demand = demand_lib.Demand()
-    demand.asked(KEY, 0.0, READ_S)
+    demand = demand_lib.DemandMeter()
+    demand.record_request(KEY, 0.0, READ_S)
     assert demand.rows(0.0)[0].read_s == READ_S
     for _ in range(60):
-        demand.asked(KEY, 0.0, READ_S)
-        demand.sent(KEY, 3 * READ_S)
+        demand.record_request(KEY, 0.0, READ_S)
+        demand.record_prompt(KEY, 3 * READ_S)
     assert demand.rows(0.0)[0].read_s == pytest.approx(3 * READ_S, rel=0.01)
 
 
 def test_how_long_requests_take_is_learned_where_some_have_ended():
-    demand = demand_lib.Demand()
-    demand.asked(KEY, 0.0, READ_S)
+    demand = demand_lib.DemandMeter()
+    demand.record_request(KEY, 0.0, READ_S)
     assert demand.rows(0.0)[0].place_s == 0.0
     for _ in range(60):
-        demand.took_place(KEY, STREAM_S)
+        demand.record_service_time(KEY, STREAM_S)
     row = demand.rows(0.0)[0]
     assert row.place_s == pytest.approx(STREAM_S)
     # An instance that has seen none end does not pull the mean down.
     unknown = fm.TargetDemand("s", "m", 9.0, 0, 0.0, 0.0)
     me = fm.Member("a", 1, "z", "a:1", 1, 1)
-    sums = figures.add_up(
+    sums = report_totals.aggregate(
         [
             fm.Report(me, 1, demand=[row]),
             fm.Report(me, 1, demand=[unknown]),
--- a/sesamecross/ops/fleet/directory.py
+++ b/sesamecross/ops/fleet/directory.py
@@ -13,7 +13,7 @@
 from sesamecross.core import serving
 from sesamecross.ops.fleet import engine_state
 from sesamecross.ops.fleet import health as health_lib
-from sesamecross.ops.fleet import reach as reach_lib
+from sesamecross.ops.fleet import reachability as reach_lib
 
 # An entry that lapsed is used for this part of the drain bound, as a last
 # choice: entries also lapse while the store is away, and are back within two
@@ -61,8 +61,12 @@
     own_running: int = 0
     others_running: float = 0.0
     others_outcomes: health_lib.Outcomes = health_lib.Outcomes()
-    reach: reach_lib.Reach = dataclasses.field(default_factory=reach_lib.Reach)
-    others_reports: reach_lib.Reports = reach_lib.Reports()
+    reachability: reach_lib.Reachability = dataclasses.field(
+        default_factory=reach_lib.Reachability
+    )
+    others_reachability: reach_lib.ReachabilityCounts = (
+        reach_lib.ReachabilityCounts()
+    )
     work_s: float = 0.0
     engine: engine_state.EngineState = dataclasses.field(
         default_factory=engine_state.EngineState
@@ -84,7 +88,7 @@
 
     def seems_down(self, now_s: float) -> bool:
         """Whether this instance should send nothing new there."""
-        own = self.reach.state(now_s)
+        own = self.reachability.state(now_s)
         if own in (reach_lib.State.SILENT, reach_lib.State.REFUSED):
             return True
         return self.is_down(now_s)
@@ -93,9 +97,11 @@
         """Whether it is down for all instances, or nearly everything fails."""
         if self.failing(now_s) >= DOWN_SHARE:
             return True
-        return self.others_reports.plus(self.reach.state(now_s)).is_down
+        return self.others_reachability.plus(
+            self.reachability.state(now_s)
+        ).is_down
 
-    def learn_work(self, took_s: float) -> None:
+    def record_duration(self, took_s: float) -> None:
         """Learns how long a request takes there."""
         if not self.work_s:
             self.work_s = took_s
@@ -125,7 +131,7 @@
         """Returns one upstream by its id."""
         return self._known.get(instance_id)
 
-    def saw(self, entry: serving.Upstream, now_s: float) -> bool:
+    def update_entry(self, entry: serving.Upstream, now_s: float) -> bool:
         """Takes in an upstream's entry; returns whether anything changed."""
         known = self._known.get(entry.instance_id)
         if known is None or known.entry.born_ms < entry.born_ms:
@@ -157,14 +163,14 @@
         if known is not None:
             known.is_replaced = True
 
-    def keep_only(self, instance_ids: Iterable[str], now_s: float) -> None:
+    def lapse_unlisted(self, instance_ids: Iterable[str], now_s: float) -> None:
         """Takes in a whole list: what isn't on it has lapsed."""
         listed = set(instance_ids)
         for instance_id in self._known:
             if instance_id not in listed:
                 self.lapsed(instance_id, now_s)
 
-    def forget_gone(self, now_s: float) -> list[KnownUpstream]:
+    def remove_lapsed(self, now_s: float) -> list[KnownUpstream]:
         """Drops what lapsed long ago; returns what was dropped."""
         gone = [
             known
@@ -198,7 +204,7 @@
                 lapsed.append(known)
         return found or lapsed
 
-    def leaving(
+    def usable_while_leaving(
         self, service: str, lasts_s: float, now_s: float
     ) -> list[KnownUpstream]:
         """Returns upstreams that leave and may still get a request.
@@ -221,7 +227,9 @@
             and self._serves_on(known, lasts_s, now_s)
         ]
 
-    def takes(self, known: KnownUpstream, lasts_s: float, now_s: float) -> bool:
+    def may_receive(
+        self, known: KnownUpstream, lasts_s: float, now_s: float
+    ) -> bool:
         """Whether an upstream that was chosen a moment ago may get a request.
 
         Args:
--- a/sesamecross/ops/fleet/directory_test.py
+++ b/sesamecross/ops/fleet/directory_test.py
@@ -24,16 +24,16 @@
     without another look.
     """
     directory = directory_lib.Directory(DRAIN_S)
-    directory.saw(ENTRY, 0.0)
+    directory.update_entry(ENTRY, 0.0)
     known = directory.get("u1")
-    assert directory.takes(known, SHORT_S, 0.0)
-    directory.saw(LEAVING, 1.0)
+    assert directory.may_receive(known, SHORT_S, 0.0)
+    directory.update_entry(LEAVING, 1.0)
     assert names(directory.usable("s", 1.0)) == []
     last_s = 1.0 + DRAIN_S * directory_lib.LEAVING_USE_SHARE
-    assert directory.takes(known, SHORT_S, last_s - 0.01)
-    assert not directory.takes(known, SHORT_S, last_s + 0.01)
+    assert directory.may_receive(known, SHORT_S, last_s - 0.01)
+    assert not directory.may_receive(known, SHORT_S, last_s + 0.01)
     # A stream that outlives the upstream never goes there.
-    assert not directory.takes(known, 10.0, 1.1)
+    assert not directory.may_receive(known, 10.0, 1.1)
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
 def test_leaving_is_never_taken_back_within_one_life(entries, usable):
     directory = directory_lib.Directory(DRAIN_S)
     for entry in entries:
-        directory.saw(entry, 0.0)
+        directory.update_entry(entry, 0.0)
     assert names(directory.usable("s", 0.1)) == usable
 
 
@@ -59,11 +59,11 @@
     """The store was away, all entries lapsed, and every request was refused."""
     directory = directory_lib.Directory(DRAIN_S)
     other = dataclasses.replace(ENTRY, instance_id="u2")
-    directory.saw(ENTRY, 0.0)
-    directory.saw(other, 0.0)
+    directory.update_entry(ENTRY, 0.0)
+    directory.update_entry(other, 0.0)
     directory.lapsed("u1", 1.0)
     assert names(directory.usable("s", 1.1)) == ["u2"]
     directory.lapsed("u2", 1.2)
     assert names(directory.usable("s", 1.3)) == ["u1", "u2"]
     assert names(directory.usable("s", 1.2 + DRAIN_S)) == []
-    assert len(directory.forget_gone(1.2 + DRAIN_S)) == 2
+    assert len(directory.remove_lapsed(1.2 + DRAIN_S)) == 2
--- a/sesamecross/ops/fleet/pace.py
+++ b/sesamecross/ops/fleet/duty_cycle.py
@@ -9,7 +9,7 @@
 from collections.abc import Hashable
 
 
-class Pace:
+class DutyCycle:
     """One kind of work. It rests after each piece.
 
     Attributes:
@@ -39,7 +39,7 @@
         self.free_s = max(begun_s + self._least_s, ended_s + rest_s)
 
 
-class Repeats:
+class Cooldown:
     """What was said, and not said again for a while."""
 
     __slots__ = ("_again_s", "_said", "_swept_s")
--- a/sesamecross/ops/fleet/pace_test.py
+++ b/sesamecross/ops/fleet/duty_cycle_test.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from sesamecross.ops.fleet import pace
+from sesamecross.ops.fleet import duty_cycle
 
 # How long a piece took, the least time between two, and when the next may be.
 PIECES = [
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize(("took_s", "least_s", "free_s"), PIECES)
 def test_work_rests_by_what_it_took(took_s, least_s, free_s):
-    one = pace.Pace(4.0, least_s)
+    one = duty_cycle.DutyCycle(4.0, least_s)
     assert one.may_begin(1.0)
     one.done(1.0, 1.0 + took_s)
     assert one.free_s == pytest.approx(free_s)
@@ -24,13 +24,13 @@
 
 
 def test_what_was_said_is_said_again_after_a_while():
-    one = pace.Repeats(0.25)
+    one = duty_cycle.Cooldown(0.25)
     told = [one.is_due("m", now_s) for now_s in (0.0, 0.1, 0.24, 0.26, 0.3)]
     assert told == [True, False, False, True, False]
 
 
 def test_what_was_said_long_ago_takes_no_memory():
-    one = pace.Repeats(0.25)
+    one = duty_cycle.Cooldown(0.25)
     for number in range(10_000):
         assert one.is_due(number, number * 0.01)
     assert len(one._said) < 100
--- a/sesamecross/ops/fleet/engine_choice.py
+++ b/sesamecross/ops/fleet/engine_choice.py
@@ -11,8 +11,8 @@
 import random
 
 from sesamecross.core import serving
-from sesamecross.ops.fleet import choosing
 from sesamecross.ops.fleet import directory as directory_lib
+from sesamecross.ops.fleet import service_choice
 
 # What a failure costs: see choosing.FAILURE_S; a stream that fails midway
 # loses all that it had delivered.
@@ -29,7 +29,7 @@
 CROWD_S = 0.4
 NEAR_S = 0.01
 # A token of an ordinary stream, for how long a request will go on.
-TOKEN_S = 0.009
+TOKEN_INTERVAL_S = 0.009
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -47,9 +47,9 @@
 
     upstream: directory_lib.KnownUpstream
     expected_s: float
-    fresh_tokens: int
+    uncached_tokens: int
     read_s: float
-    ahead_tokens: int
+    queued_tokens: int
     running: float
     lacks_adapter: bool
 
@@ -57,12 +57,12 @@
 def rate(
     call: serving.ModelCall,
     known: directory_lib.KnownUpstream,
-    place: choosing.Place,
+    location: service_choice.Location,
     now_s: float,
 ) -> Choice:
     """Returns what the call would meet at an engine that has its model."""
     engine = known.engine
-    kept = engine.cache.kept_tokens(call)
+    kept = engine.cache.cached_tokens(call)
     fresh = max(1, call.prompt_tokens - kept)
     ahead = engine.own_prompt_tokens + engine.others_prompt_tokens
     speed = engine.speed(call.model)
@@ -73,7 +73,7 @@
         known.entry, call.target, now_s
     )
     expected_s = (
-        place.distance_s(known.entry.zone)
+        location.round_trip_s(known.entry.zone)
         + first_ms / 1000
         + waiting / slots * HOLD_S
         + (known.running / slots) ** 2 * CROWD_S
@@ -87,13 +87,13 @@
 def choose(
     call: serving.ModelCall,
     candidates: Iterable[directory_lib.KnownUpstream],
-    place: choosing.Place,
+    location: service_choice.Location,
     now_s: float,
     rng: random.Random,
 ) -> Choice | None:
     """Returns the best engine among those that have the call's model."""
     rated = [
-        rate(call, known, place, now_s)
+        rate(call, known, location, now_s)
         for known in candidates
         if known.engine.holds(known.entry, call.model, now_s)
         and not known.seems_down(now_s)
--- a/sesamecross/ops/fleet/engine_ledger.py
+++ b/sesamecross/ops/fleet/engine_inventory.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class EngineLedger:
+class EngineInventory:
     """One life of an engine, by the books of the one who orders.
 
     Attributes:
@@ -54,8 +54,8 @@
     departing: set[str] = dataclasses.field(default_factory=set)
     known_adapters: set[str] = dataclasses.field(default_factory=set)
     copies: serving.WeightCopies = serving.WeightCopies()
-    is_certain: bool = False
-    is_heard: bool = False
+    is_fully_known: bool = False
+    has_reported: bool = False
     settled_s: float = 0.0
     loaded_s: dict[str, float] = dataclasses.field(default_factory=dict)
     last_entry: serving.Upstream | None = None
@@ -85,7 +85,7 @@
         """Returns the adapters that go once their requests have ended."""
         return {target for target in self.departing if "/" in target}
 
-    def holds_or_will(self, target: str) -> bool:
+    def is_held_or_loading(self, target: str) -> bool:
         """Whether a target answers or is being loaded."""
         return (
             target in self.models
@@ -95,7 +95,7 @@
 
     # -- what is heard -------------------------------------------------
 
-    def entry(self, entry: serving.Upstream) -> None:
+    def apply_entry(self, entry: serving.Upstream) -> None:
         """Takes in the engine's own entry, whenever it is another one.
 
         An entry tells neither of orders under way nor how many there were.
@@ -110,9 +110,9 @@
             self._arrived(target)
         models = {target for target in listed if "/" not in target}
         if models - self.departing != self.models:
-            self.is_certain = False
+            self.is_fully_known = False
 
-    def report(
+    def apply_report(
         self, report: serving.EngineReport, asked_s: float, now_s: float
     ) -> None:
         """Takes in the engine's answer to a question.
@@ -124,14 +124,14 @@
         """
         if report.born_ms and report.born_ms != self.born_ms:
             # Another life has the address: its entry will say so.
-            self.is_certain = False
+            self.is_fully_known = False
             return
         self.copies = report.copies
         is_settled = asked_s >= self.settled_s
         if report.orders < self.orders and not is_settled:
             # It may have been made before the last order was accepted.
             return
-        self.is_heard = True
+        self.has_reported = True
         listed = engine_state.targets_of(report.models)
         if report.orders != self.orders:
             self._adopt(report, listed, now_s)
@@ -153,7 +153,7 @@
         self.arriving = dict.fromkeys(
             report.arriving_adapters - self.adapters, now_s
         )
-        self.is_certain = not report.is_busy
+        self.is_fully_known = not report.is_busy
 
     def _confirm(
         self, report: serving.EngineReport, listed: set[str], now_s: float
@@ -178,14 +178,14 @@
         arriving = dict.fromkeys(
             report.arriving_adapters - self.adapters, now_s
         )
-        if report.is_busy or not self.is_certain:
+        if report.is_busy or not self.is_fully_known:
             arriving = self.arriving | arriving
         self.arriving = {
             target: at_s
             for target, at_s in arriving.items()
             if target not in self.models and target not in self.adapters
         }
-        self.is_certain = self.is_certain or not report.is_busy
+        self.is_fully_known = self.is_fully_known or not report.is_busy
 
     def _departs(self, target: str) -> bool:
         model = target.partition("/")[0]
@@ -200,7 +200,7 @@
 
     # -- orders --------------------------------------------------------
 
-    def accepted(
+    def order_accepted(
         self, loads: bool, target: str, eta_s: float, now_s: float
     ) -> None:
         """The engine accepted an order.
@@ -224,7 +224,9 @@
         self._unloaded(target)
         self.departing.add(target)
 
-    def already(self, loads: bool, target: str, now_s: float) -> None:
+    def order_already_done(
+        self, loads: bool, target: str, now_s: float
+    ) -> None:
         """The engine said that an order holds, with nothing under way for it.
 
         Either the order changed nothing and doesn't count, or it unloaded at
@@ -232,10 +234,10 @@
         tell, a report has to.
         """
         if not loads and target in self.known_adapters:
-            self.accepted(False, target, now_s, now_s)
+            self.order_accepted(False, target, now_s, now_s)
             self.departing.discard(target)
             return
-        self.is_certain = False
+        self.is_fully_known = False
         self.settled_s = now_s + REPORT_LAG_S
         if loads:
             self.arriving.pop(target, None)
@@ -253,11 +255,11 @@
             gone = {one for one in held if one.startswith(prefix)}
             held -= gone | {target}
 
-    def unanswered(self, target: str) -> None:
+    def order_unanswered(self, target: str) -> None:
         """An order got no answer: it may be carried out, now or later."""
         self.known_adapters.discard(target)
 
-    def expected(self, now_s: float) -> list[str]:
+    def complete_due_adapters(self, now_s: float) -> list[str]:
         """Returns adapters whose time is over: they answer by now.
 
         Adapters take milliseconds and are told of by nobody; a wrong guess
--- a/sesamecross/ops/fleet/engine_ledger_test.py
+++ b/sesamecross/ops/fleet/engine_inventory_test.py
@@ -7,7 +7,7 @@
 
 from sesamecross.core import serving
 from sesamecross.fakes import engine_holdings
-from sesamecross.ops.fleet import engine_ledger
+from sesamecross.ops.fleet import engine_inventory
 
 SIZES = {"large": 50.0, "middle": 30.0, "small": 20.0, "other": 30.0}
 ROOM_MB = 100.0
@@ -58,20 +58,22 @@
     the model, arrived after it and took the model out of the books; the next
     load was ordered into room that was not there.
     """
-    ledger = engine_ledger.EngineLedger("e", 1)
-    ledger.report(report(), 0.0, 0.0)
-    ledger.accepted(True, "large", 0.5, 0.1)
+    inventory = engine_inventory.EngineInventory("e", 1)
+    inventory.apply_report(report(), 0.0, 0.0)
+    inventory.order_accepted(True, "large", 0.5, 0.1)
     entry = serving.Upstream(
         "e", "s", "a:1", "z", 8, False, 1, (serving.HeldModel("large"),)
     )
-    ledger.entry(entry)
-    ledger.report(report(orders=1, is_busy=True), asked_s=0.6, now_s=0.7)
-    assert "large" in ledger.models
-    assert ledger.used_mb(spec()) == SIZES["large"]
+    inventory.apply_entry(entry)
+    inventory.apply_report(
+        report(orders=1, is_busy=True), asked_s=0.6, now_s=0.7
+    )
+    assert "large" in inventory.models
+    assert inventory.used_mb(spec()) == SIZES["large"]
 
 
 @pytest.mark.parametrize(
-    ("told", "is_heard"),
+    ("told", "has_reported"),
     [
         (None, False),
         # Another life has the address: nothing is known of this one.
@@ -82,28 +84,30 @@
         (report(orders=3, is_busy=True, models=["small"]), True),
     ],
 )
-def test_an_engine_is_heard_once_it_has_reported(told, is_heard):
+def test_an_engine_is_heard_once_it_has_reported(told, has_reported):
     """What an entry lists is no report: it counts neither way."""
-    ledger = engine_ledger.EngineLedger("e", 1)
+    inventory = engine_inventory.EngineInventory("e", 1)
     listed = (serving.HeldModel("large"),)
-    ledger.entry(serving.Upstream("e", "s", "a:1", "z", 8, False, 1, listed))
+    inventory.apply_entry(
+        serving.Upstream("e", "s", "a:1", "z", 8, False, 1, listed)
+    )
     if told is not None:
-        ledger.report(told, asked_s=1.0, now_s=1.1)
-    assert ledger.is_heard is is_heard
-    assert ledger.models == ({"small"} if is_heard else set())
+        inventory.apply_report(told, asked_s=1.0, now_s=1.1)
+    assert inventory.has_reported is has_reported
+    assert inventory.models == ({"small"} if has_reported else set())
 
 
 SETTLED_S = 5.0
 
 
-def settled_ledger() -> engine_ledger.EngineLedger:
+def settled_ledger() -> engine_inventory.EngineInventory:
     """Returns books of two orders whose last answer came a moment ago."""
-    return engine_ledger.EngineLedger(
+    return engine_inventory.EngineInventory(
         "e",
         1,
         orders=2,
         models={"middle"},
-        is_certain=True,
+        is_fully_known=True,
         settled_s=SETTLED_S,
     )
 
@@ -122,20 +126,22 @@
     ],
 )
 def test_reports(told, certain, models):
-    ledger = settled_ledger()
-    ledger.report(told, asked_s=SETTLED_S, now_s=SETTLED_S + 0.1)
-    assert ledger.is_certain is certain
-    assert ledger.models == models
-    assert ledger.orders in (2, told.orders)
+    inventory = settled_ledger()
+    inventory.apply_report(told, asked_s=SETTLED_S, now_s=SETTLED_S + 0.1)
+    assert inventory.is_fully_known is certain
+    assert inventory.models == models
+    assert inventory.orders in (2, told.orders)
 
 
 def test_a_lower_count_from_before_the_last_answer_says_nothing():
     """Guards against taking back an order that was accepted since."""
-    ledger = settled_ledger()
+    inventory = settled_ledger()
     told = report(orders=1, models=["other"])
-    ledger.report(told, asked_s=SETTLED_S - 0.01, now_s=SETTLED_S + 0.1)
-    assert (ledger.orders, ledger.models) == (2, {"middle"})
-    assert ledger.is_certain
+    inventory.apply_report(
+        told, asked_s=SETTLED_S - 0.01, now_s=SETTLED_S + 0.1
+    )
+    assert (inventory.orders, inventory.models) == (2, {"middle"})
+    assert inventory.is_fully_known
 
 
 # What an engine holds, what it is told to unload, and what becomes of it.
@@ -153,35 +159,39 @@
     target, is_known, orders, departing, certain
 ):
     """Guards against counting an order that changed nothing."""
-    ledger = engine_ledger.EngineLedger("e", 1, orders=2, is_certain=True)
-    ledger.models.add("small")
-    ledger.accepted(True, "small/a1", 0.0, 0.0)
-    ledger.expected(1.0)
+    inventory = engine_inventory.EngineInventory(
+        "e", 1, orders=2, is_fully_known=True
+    )
+    inventory.models.add("small")
+    inventory.order_accepted(True, "small/a1", 0.0, 0.0)
+    inventory.complete_due_adapters(1.0)
     if not is_known:
-        ledger.unanswered("small/a1")
-    ledger.already(False, target, 1.0)
-    assert ledger.orders == orders
-    assert ledger.departing == departing
-    assert ledger.is_certain is certain
-    assert not ledger.holds_or_will(target)
+        inventory.order_unanswered("small/a1")
+    inventory.order_already_done(False, target, 1.0)
+    assert inventory.orders == orders
+    assert inventory.departing == departing
+    assert inventory.is_fully_known is certain
+    assert not inventory.is_held_or_loading(target)
 
 
 def test_an_adapter_that_departs_takes_its_place_until_it_is_listed_no_more():
     """Guards against a load into the place of an adapter in use."""
-    ledger = engine_ledger.EngineLedger("e", 1, orders=2, is_certain=True)
-    ledger.models.add("small")
-    ledger.adapters.add("small/a1")
-    ledger.accepted(False, "small/a1", 0.0, 0.0)
-    ledger.accepted(True, "small/a2", 0.0, 0.0)
+    inventory = engine_inventory.EngineInventory(
+        "e", 1, orders=2, is_fully_known=True
+    )
+    inventory.models.add("small")
+    inventory.adapters.add("small/a1")
+    inventory.order_accepted(False, "small/a1", 0.0, 0.0)
+    inventory.order_accepted(True, "small/a2", 0.0, 0.0)
     for listed, placed in (
         (["small/a1", "small/a2"], {"small/a1", "small/a2"}),
         (["small/a2"], {"small/a2"}),
     ):
         told = report(orders=4, models=["small"], adapters=listed)
-        ledger.report(told, asked_s=1.0, now_s=1.0)
-        assert ledger.all_adapters() == placed
-        assert ledger.adapters == {"small/a2"}
-        assert ledger.used_mb(spec()) == SIZES["small"] + len(placed)
+        inventory.apply_report(told, asked_s=1.0, now_s=1.0)
+        assert inventory.all_adapters() == placed
+        assert inventory.adapters == {"small/a2"}
+        assert inventory.used_mb(spec()) == SIZES["small"] + len(placed)
 
 
 ROOM = engine_holdings.Room(SIZES, ROOM_MB, 1.0, ADAPTER_SLOTS)
@@ -201,7 +211,7 @@
         self._new_holder()
 
     def _new_holder(self):
-        self.ledger = engine_ledger.EngineLedger("e", 1)
+        self.inventory = engine_inventory.EngineInventory("e", 1)
 
     def _entry(self):
         held = self.engine.held()
@@ -217,49 +227,49 @@
     @stateful.rule(loads=st.booleans(), fate=st.integers(0, 4), data=st.data())
     def order(self, loads, fate, data):
         """Gives an order that the books call sound."""
-        if not self.ledger.is_certain:
+        if not self.inventory.is_fully_known:
             return
-        ledger = self.ledger
+        inventory = self.inventory
         target = self._sound_target(loads, data)
         if target is None:
             return
-        order = engine_holdings.Order(loads, target, ledger.orders)
+        order = engine_holdings.Order(loads, target, inventory.orders)
         if fate == 0:
             self.late.append(order)
-            ledger.unanswered(target)
+            inventory.order_unanswered(target)
             return
         answer = self.engine.apply(order)
         self._tick()
         if fate == 1:
             # Carried out, and the answer is lost.
-            ledger.unanswered(target)
+            inventory.order_unanswered(target)
             return
         if answer is serving.OrderAnswer.ACCEPTED:
-            ledger.accepted(loads, target, self.now_s + 1, self.now_s)
+            inventory.order_accepted(loads, target, self.now_s + 1, self.now_s)
         elif answer is serving.OrderAnswer.ALREADY:
-            ledger.already(loads, target, self.now_s)
+            inventory.order_already_done(loads, target, self.now_s)
 
     def _sound_target(self, loads, data):
-        ledger = self.ledger
-        free = ROOM_MB - ledger.used_mb(spec())
+        inventory = self.inventory
+        free = ROOM_MB - inventory.used_mb(spec())
         if loads:
             found = [
                 name
                 for name, size in SIZES.items()
                 if size <= free
-                and not ledger.holds_or_will(name)
-                and name not in ledger.departing
+                and not inventory.is_held_or_loading(name)
+                and name not in inventory.departing
             ]
-            if len(ledger.all_adapters()) < ADAPTER_SLOTS and free >= 1:
+            if len(inventory.all_adapters()) < ADAPTER_SLOTS and free >= 1:
                 found += [
                     f"{name}/a{number}"
-                    for name in ledger.models
+                    for name in inventory.models
                     for number in (1, 2)
-                    if not ledger.holds_or_will(f"{name}/a{number}")
-                    and f"{name}/a{number}" not in ledger.departing
+                    if not inventory.is_held_or_loading(f"{name}/a{number}")
+                    and f"{name}/a{number}" not in inventory.departing
                 ]
         else:
-            found = sorted(ledger.models | ledger.adapters)
+            found = sorted(inventory.models | inventory.adapters)
         return data.draw(st.sampled_from(sorted(found))) if found else None
 
     @stateful.rule()
@@ -296,14 +306,14 @@
     def hear_report(self, age):
         """A report arrives, made some steps ago."""
         told = self.snapshots[max(0, len(self.snapshots) - 1 - age)]
-        self.now_s += engine_ledger.REPORT_LAG_S
-        self.ledger.report(told, self.now_s, self.now_s)
+        self.now_s += engine_inventory.REPORT_LAG_S
+        self.inventory.apply_report(told, self.now_s, self.now_s)
 
     @stateful.rule()
     def hear_entry(self):
         """The engine's next entry arrives."""
         if self.entry_at < len(self.entries):
-            self.ledger.entry(self.entries[self.entry_at])
+            self.inventory.apply_entry(self.entries[self.entry_at])
             self.entry_at += 1
 
     @stateful.rule()
@@ -315,7 +325,7 @@
     def adapters_are_due(self):
         """Time passes for adapters."""
         self.now_s += 2.0
-        self.ledger.expected(self.now_s)
+        self.inventory.complete_due_adapters(self.now_s)
 
     @stateful.invariant()
     def never_overloaded(self):
@@ -330,22 +340,26 @@
 
 def test_an_adapter_that_a_later_report_does_not_list_is_gone():
     """Guards against requests sent for an adapter that is never loaded."""
-    ledger = engine_ledger.EngineLedger("e", 1, orders=2, is_certain=True)
-    ledger.models.add("small")
-    ledger.adapters |= {"small/a1", "small/a2"}
+    inventory = engine_inventory.EngineInventory(
+        "e", 1, orders=2, is_fully_known=True
+    )
+    inventory.models.add("small")
+    inventory.adapters |= {"small/a1", "small/a2"}
     told = report(orders=2, models=["small"], arriving=["small/a2"])
-    ledger.report(told, asked_s=1.0, now_s=1.0)
-    assert not ledger.holds_or_will("small/a1")
-    assert ledger.all_adapters() == {"small/a2"}
+    inventory.apply_report(told, asked_s=1.0, now_s=1.0)
+    assert not inventory.is_held_or_loading("small/a1")
+    assert inventory.all_adapters() == {"small/a2"}
 
 
 def test_a_model_that_is_gone_already_is_gone_with_its_adapters():
     """Guards against adapters that outlive their model in the books."""
-    ledger = engine_ledger.EngineLedger("e", 1, orders=2, is_certain=True)
-    ledger.models.add("small")
-    ledger.adapters.add("small/a1")
-    ledger.already(False, "small", 0.0)
-    assert not ledger.all_adapters()
+    inventory = engine_inventory.EngineInventory(
+        "e", 1, orders=2, is_fully_known=True
+    )
+    inventory.models.add("small")
+    inventory.adapters.add("small/a1")
+    inventory.order_already_done(False, "small", 0.0)
+    assert not inventory.all_adapters()
 
 
 @pytest.mark.parametrize(
@@ -360,7 +374,7 @@
 )
 def test_what_is_not_declared_any_more_still_takes_room(held, used_mb):
     """Guards against loads into the room of a model that was withdrawn."""
-    ledger = engine_ledger.EngineLedger("e", 1)
+    inventory = engine_inventory.EngineInventory("e", 1)
     for target in held:
-        (ledger.adapters if "/" in target else ledger.models).add(target)
-    assert ledger.used_mb(spec()) == used_mb
+        (inventory.adapters if "/" in target else inventory.models).add(target)
+    assert inventory.used_mb(spec()) == used_mb
--- a/sesamecross/ops/fleet/engine_state.py
+++ b/sesamecross/ops/fleet/engine_state.py
@@ -11,7 +11,7 @@
 from sesamecross.core import fleet_messages as fm
 from sesamecross.core import serving
 from sesamecross.ops import estimates
-from sesamecross.ops.fleet import prompt_cache
+from sesamecross.ops.fleet import prefix_cache
 
 # First guess until requests have shown better: the time to a first event
 # without prompt work, and for each prompt token.
@@ -39,11 +39,11 @@
     own_prompt_tokens: int = 0
     others_prompt_tokens: int = 0
     speeds: dict[str, estimates.Line] = dataclasses.field(default_factory=dict)
-    cache: prompt_cache.PromptCache = dataclasses.field(
-        default_factory=prompt_cache.PromptCache
+    cache: prefix_cache.PrefixCache = dataclasses.field(
+        default_factory=prefix_cache.PrefixCache
     )
 
-    def take_place(self, place: fm.EnginePlace, now_s: float) -> None:
+    def apply_placement(self, place: fm.EnginePlace, now_s: float) -> None:
         """Takes in the holder's word, which arrives in order.
 
         The count of orders goes down where the holder has put its books right.
@@ -79,7 +79,7 @@
         absent_s = self.absent.get(target)
         return absent_s is None or now_s - absent_s > ABSENT_S
 
-    def arrives_s(self, target: str) -> float | None:
+    def ready_at_s(self, target: str) -> float | None:
         """Returns when a target will answer, or None if nobody plans it."""
         if self.place is None:
             return None
@@ -99,7 +99,7 @@
         return line
 
 
-def first_read_s(call: serving.ModelCall) -> float:
+def estimate_prefill_s(call: serving.ModelCall) -> float:
     """Returns a guess at how long a prompt takes to read."""
     return call.prompt_tokens * START_PROMPT_MS / 1000
 
--- a/sesamecross/ops/fleet/engine_state_test.py
+++ b/sesamecross/ops/fleet/engine_state_test.py
@@ -17,8 +17,8 @@
 def test_the_newest_word_is_believed_whatever_its_count_of_orders(orders):
     """Guards against an outdated view of an engine whose count went down."""
     engine = engine_state.EngineState()
-    engine.take_place(place(8, "m"), 0.0)
-    engine.take_place(place(orders, "n"), 0.1)
+    engine.apply_placement(place(8, "m"), 0.0)
+    engine.apply_placement(place(orders, "n"), 0.1)
     assert engine.targets(ENTRY, 0.2) == {"n"}
 
 
@@ -29,7 +29,7 @@
     orders, holds
 ):
     engine = engine_state.EngineState()
-    engine.take_place(place(8, "m"), 0.0)
+    engine.apply_placement(place(8, "m"), 0.0)
     engine.absent["m"] = 0.1
-    engine.take_place(place(orders, "m"), 0.2)
+    engine.apply_placement(place(orders, "m"), 0.2)
     assert engine.holds(ENTRY, "m", 0.3) is holds
--- a/sesamecross/ops/fleet/health.py
+++ b/sesamecross/ops/fleet/health.py
@@ -51,12 +51,12 @@
         faded = 0.5 ** (age_s / HALF_LIFE_S)
         return Outcomes(counts.failed * faded, counts.total * faded)
 
-    def failed(self, now_s: float, weight: float = 1.0) -> None:
+    def record_failure(self, now_s: float, weight: float = 1.0) -> None:
         """Counts a failure; `weight` 1 is a plain one."""
         self._counts = self.outcomes(now_s).plus(Outcomes(weight, weight))
         self._at_s = now_s
 
-    def worked(self, now_s: float) -> None:
+    def record_success(self, now_s: float) -> None:
         """Counts a success."""
         self._counts = self.outcomes(now_s).plus(Outcomes(0.0, 1.0))
         self._at_s = now_s
--- a/sesamecross/ops/fleet/lease.py
+++ b/sesamecross/ops/fleet/lease.py
@@ -52,12 +52,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Look:
+class ReadLease:
     """Read the lease's record now."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Write:
+class WriteLease:
     """Write the lease, only if the topic ends at `at`."""
 
     at: int
@@ -65,14 +65,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Rest:
+class Idle:
     """Nothing to do now."""
 
 
-Step = Look | Write | Rest
+Step = ReadLease | WriteLease | Idle
 
 
-class LeaseMachine:
+class LeaseStateMachine:
     """One instance's part. Deterministic: times are handed in.
 
     Attributes:
@@ -150,7 +150,7 @@
 
     # -- what to do next -----------------------------------------------
 
-    def next_step(self, now_s: float, rank: int, holder_heard: bool) -> Step:
+    def next_action(self, now_s: float, rank: int, holder_heard: bool) -> Step:
         """Returns what to do now.
 
         Args:
@@ -160,7 +160,7 @@
             its lease is good.
         """
         if self._is_over:
-            return Rest()
+            return Idle()
         if self._fence is not None and now_s >= self._valid_s:
             # Not renewed in time: somebody else may hold it by now.
             self._fence = None
@@ -169,17 +169,17 @@
             return self._look(now_s)
         if self._fence is not None:
             if now_s - self._sent_s < RENEW_S:
-                return Rest()
+                return Idle()
             return self._write(now_s)
         if holder_heard and not self._holder_is_gone():
-            return Rest()
+            return Idle()
         if self._record is None:
             return self._look(now_s)
         free_s = self._free_s()
         if self._record.holder != self._name:
             free_s += rank * RANK_S
         if now_s < free_s:
-            return Rest()
+            return Idle()
         if self._looked_s < free_s:
             # What was read may be outdated by renewals since.
             return self._look(now_s)
@@ -187,20 +187,20 @@
 
     def _look(self, now_s: float) -> Step:
         if now_s - self._looked_s < LOOK_S / 4:
-            return Rest()
+            return Idle()
         self._looked_s = now_s
-        return Look()
+        return ReadLease()
 
-    def _take(self, now_s: float) -> Write:
+    def _take(self, now_s: float) -> WriteLease:
         self._take_first_s = max(now_s, self._gap_end_s())
         return self._write(now_s)
 
-    def _write(self, now_s: float) -> Write:
+    def _write(self, now_s: float) -> WriteLease:
         self._sent_s = now_s
         if self._unanswered_s is None:
             self._unanswered_s = now_s
         fence = self._end if self._fence is None else self._fence
-        return Write(self._end, fence)
+        return WriteLease(self._end, fence)
 
     def _holder_is_gone(self) -> bool:
         record = self._record
@@ -290,7 +290,9 @@
         self._must_look = True
         self._looked_s -= LOOK_S
 
-    def holder_gone(self, holder: str, incarnation: int, now_s: float) -> None:
+    def holder_exited(
+        self, holder: str, incarnation: int, now_s: float
+    ) -> None:
         """One life of an instance is proved to be over."""
         if self._gone != (holder, incarnation):
             self._gone = (holder, incarnation)
--- a/sesamecross/ops/fleet/lease_test.py
+++ b/sesamecross/ops/fleet/lease_test.py
@@ -18,11 +18,11 @@
 
     name: str
     incarnation: int
-    step: lease.Write
+    step: lease.WriteLease
     due_s: float
 
 
-class LeaseMachine(stateful.RuleBasedStateMachine):
+class LeaseStateMachine(stateful.RuleBasedStateMachine):
     """Three candidates; answers get lost, writes arrive seconds late.
 
     Checked throughout: of two instances that may order, one stopped a whole
@@ -39,9 +39,11 @@
         self.machines = {name: self._start(name) for name in NAMES}
         self.last_order: tuple[str, float] | None = None
 
-    def _start(self, name: str) -> lease.LeaseMachine:
+    def _start(self, name: str) -> lease.LeaseStateMachine:
         self.lives[name] += 1
-        return lease.LeaseMachine(name, self.lives[name], GAP_S, self.now_s)
+        return lease.LeaseStateMachine(
+            name, self.lives[name], GAP_S, self.now_s
+        )
 
     def _apply(self, write: _Written) -> bool:
         if write.step.at != self.end:
@@ -84,11 +86,11 @@
     def step(self, name, fate, heard):
         machine = self.machines[name]
         rank = NAMES.index(name)
-        match machine.next_step(self.now_s, rank, heard):
-            case lease.Look():
+        match machine.next_action(self.now_s, rank, heard):
+            case lease.ReadLease():
                 if fate in ("done", "late"):
                     machine.read(self.record, self.end, self.now_s)
-            case lease.Write() as write:
+            case lease.WriteLease() as write:
                 written = _Written(name, self.lives[name], write, self.now_s)
                 if fate == "late":
                     written.due_s += 2.0
@@ -114,10 +116,10 @@
             return
         life = self.lives[of]
         self.machines[of] = self._start(of)
-        self.machines[to].holder_gone(of, life, self.now_s)
+        self.machines[to].holder_exited(of, life, self.now_s)
 
 
-TestLease = LeaseMachine.TestCase
+TestLease = LeaseStateMachine.TestCase
 TestLease.settings = settings(
     max_examples=150,
     stateful_step_count=40,
@@ -127,21 +129,21 @@
 
 
 def test_a_holder_that_renews_keeps_the_lease_and_its_fence():
-    machine = lease.LeaseMachine("a", 1, GAP_S, 0.0)
-    assert isinstance(machine.next_step(0.0, 0, False), lease.Look)
+    machine = lease.LeaseStateMachine("a", 1, GAP_S, 0.0)
+    assert isinstance(machine.next_action(0.0, 0, False), lease.ReadLease)
     machine.read(None, 0, 0.01)
-    write = machine.next_step(0.5, 0, False)
-    while isinstance(write, lease.Look):
+    write = machine.next_action(0.5, 0, False)
+    while isinstance(write, lease.ReadLease):
         machine.read(None, 0, 0.5)
-        write = machine.next_step(0.6, 0, False)
-    assert isinstance(write, lease.Write)
+        write = machine.next_action(0.6, 0, False)
+    assert isinstance(write, lease.WriteLease)
     machine.written(write.at)
     fence = machine.fence
     now_s = 0.6
     for number in range(1, 5):
         now_s += lease.RENEW_S + 0.01
-        write = machine.next_step(now_s, 0, True)
-        assert isinstance(write, lease.Write)
+        write = machine.next_action(now_s, 0, True)
+        assert isinstance(write, lease.WriteLease)
         machine.written(write.at)
         assert machine.holds(now_s)
         assert machine.fence == fence, number
@@ -149,12 +151,12 @@
 
 def test_a_holder_that_slept_orders_nothing_more():
     """A frozen instance woke and sent orders beside its successor's."""
-    machine = lease.LeaseMachine("a", 1, GAP_S, 0.0)
+    machine = lease.LeaseStateMachine("a", 1, GAP_S, 0.0)
     machine.read(None, 0, 0.0)
-    write = machine.next_step(0.5, 0, False)
-    if isinstance(write, lease.Look):
+    write = machine.next_action(0.5, 0, False)
+    if isinstance(write, lease.ReadLease):
         machine.read(None, 0, 0.5)
-        write = machine.next_step(0.6, 0, False)
+        write = machine.next_action(0.6, 0, False)
     machine.written(write.at)
     assert machine.holds(1.0)
     assert not machine.may_order(1.0 + lease.LEASE_S)
--- a/sesamecross/ops/fleet/load_budget.py
+++ b/sesamecross/ops/fleet/load_budget.py
@@ -26,14 +26,14 @@
     def __init__(
         self, rate: float, window_s: float, overage: float, now_s: float
     ):
-        self.hold_to(rate, window_s, overage)
+        self.set_limits(rate, window_s, overage)
         # The holder before may have begun as many as the rate allows within
         # the window, of which the lease's gap has passed.
         before = int(max(0.0, min(rate * window_s / 2, BEFORE_MOST)))
         self._begun: deque[float] = deque([now_s] * before)
         self._reserved: deque[float] = deque()
 
-    def hold_to(self, rate: float, window_s: float, overage: float) -> None:
+    def set_limits(self, rate: float, window_s: float, overage: float) -> None:
         """Goes by these figures from now on; what has begun stays counted."""
         self._window_s = window_s
         self._most = rate * window_s * overage + BURST - 1.0
@@ -46,10 +46,10 @@
             self._reserved.popleft()
         return len(self._begun) + len(self._reserved) + 1 <= self._most
 
-    def began(self, now_s: float) -> None:
+    def load_started(self, now_s: float) -> None:
         """Counts a load."""
         self._begun.append(now_s)
 
-    def unanswered(self, now_s: float) -> None:
+    def load_unanswered(self, now_s: float) -> None:
         """Counts a load that may begin at any time from now on."""
         self._reserved.append(now_s)
--- a/sesamecross/ops/fleet/pacer.py
+++ b/sesamecross/ops/fleet/pacer.py
@@ -64,7 +64,7 @@
 ASKED_S = 3.0
 # A refused caller comes back after about this: bursts last 3 to 4 s, and a
 # further engine is loaded with a busy model in 0.5 to 3 s.
-OVERLOAD_BACK_S = 2.5
+OVERLOAD_RETRY_AFTER_S = 2.5
 
 Key = tuple[str, int]
 
@@ -165,7 +165,7 @@
             self._asked += ask.counted / ASKED_S
         return self.grant(batch, now_s)
 
-    def read(self, key: Key) -> None:
+    def prompt_read(self, key: Key) -> None:
         """A prompt was read, or will not be sent."""
         self._waiting.pop(key, None)
         known = self._reading.pop(key, None)
@@ -247,7 +247,7 @@
             return False
         return self._level + ask.counted <= BURST_TOKENS
 
-    def next_s(self, now_s: float) -> float | None:
+    def next_check_s(self, now_s: float) -> float | None:
         """Returns when to look again, or None if nobody waits."""
         if not self._waiting:
             return None
@@ -257,7 +257,7 @@
     def _forget(self, now_s: float) -> None:
         for key, (_, at_s) in list(self._reading.items()):
             if now_s - at_s > FORGET_S:
-                self.read(key)
+                self.prompt_read(key)
         for key, ask in list(self._waiting.items()):
             if now_s - ask.asked_s > WAIT_MOST_S:
                 del self._waiting[key]
--- a/sesamecross/ops/fleet/pacer_test.py
+++ b/sesamecross/ops/fleet/pacer_test.py
@@ -55,7 +55,7 @@
             for name in one.refused:
                 refused[name[1]] = now_s
         for at_s, name in [r for r in reading if r[0] <= now_s]:
-            pacer.read(name)
+            pacer.prompt_read(name)
             reading.remove((at_s, name))
         now_s += step_s
     return granted, refused
@@ -80,7 +80,7 @@
     order = []
     for step in range(100):
         order += pacer.grant(FREE, step * 0.01).granted
-        pacer.read(order[-1]) if order else None
+        pacer.prompt_read(order[-1]) if order else None
     assert [number for _, number in order] == [2, 1, 3]
 
 
--- a/sesamecross/ops/fleet/placement_draft.py
+++ b/sesamecross/ops/fleet/placement_draft.py
@@ -7,7 +7,7 @@
 
 import math
 
-from sesamecross.ops.fleet import placement_data as data
+from sesamecross.ops.fleet import placement_types as data
 
 # From this load on, an engine's streams pause for the prompts of others and
 # its batch is nearly full: what is beyond is late.
@@ -55,7 +55,7 @@
         "_roomy",
     )
 
-    def __init__(self, inputs: data.Inputs, target: data.Target):
+    def __init__(self, inputs: data.Inputs, target: data.PlacementTarget):
         self.inputs = inputs
         self.engines = {
             engine.name: engine
@@ -83,7 +83,7 @@
         for instance_id, engine in self.engines.items():
             before = target.get(instance_id)
             if before is None:
-                before = engine.ledger.all_models()
+                before = engine.inventory.all_models()
             for model in sorted(before):
                 if model in self.places and self.fits(instance_id, model):
                     self.add(instance_id, model)
@@ -141,7 +141,7 @@
         return [
             engine.name
             for engine in self.engines.values()
-            if name in engine.ledger.models
+            if name in engine.inventory.models
         ]
 
     def moves_s(self, instance_id: str, name: str, worth: float) -> float:
@@ -183,7 +183,7 @@
 
 def _adapters_mb(inputs: data.Inputs, engine: data.Engine) -> float:
     total = 0.0
-    for target in engine.ledger.all_adapters():
+    for target in engine.inventory.all_adapters():
         model = inputs.spec.models.get(target.partition("/")[0])
         total += model.adapter_mb if model else 0.0
     return total
@@ -192,11 +192,11 @@
 def waits_for(draft: Draft, engine: data.Engine, name: str) -> float:
     """Returns how long an engine needs until a load can begin."""
     inputs = draft.inputs
-    ledger = engine.ledger
-    missing_mb = ledger.used_mb(inputs.spec) + inputs.size(name)
+    inventory = engine.inventory
+    missing_mb = inventory.used_mb(inputs.spec) + inputs.size(name)
     missing_mb -= inputs.spec.weights_mb
     wait_s = 0.0
-    if any("/" not in target for target in ledger.arriving):
+    if any("/" not in target for target in inventory.arriving):
         wait_s += 1.0
     if missing_mb <= 0:
         return wait_s
@@ -207,7 +207,7 @@
         (draft.moves_s(engine.name, one, worth), requests, one)
         for requests, one in (
             (draft.running(engine.name, one), one)
-            for one in ledger.models
+            for one in inventory.models
             if one not in draft.held[engine.name]
         )
     ]
@@ -228,13 +228,13 @@
     None where it must stay: it was loaded only now.
     """
     inputs = draft.inputs
-    ledger = draft.engines[instance_id].ledger
-    loaded_s = ledger.loaded_s.get(name, -STAY_S)
-    if name in ledger.arriving or inputs.now_s - loaded_s < STAY_S:
+    inventory = draft.engines[instance_id].inventory
+    loaded_s = inventory.loaded_s.get(name, -STAY_S)
+    if name in inventory.arriving or inputs.now_s - loaded_s < STAY_S:
         return None
     demand = inputs.demand_for(name)
     others = [one for one in draft.places[name] if one != instance_id]
-    if not demand.is_asked:
+    if not demand.is_in_demand:
         return IDLE_LOSSES[min(len(others), len(IDLE_LOSSES) - 1)]
     if others:
         share = demand.load / len(others)
--- a/sesamecross/ops/fleet/placement_steps.py
+++ b/sesamecross/ops/fleet/placement_steps.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterable
 import math
 
-from sesamecross.ops.fleet import placement_data as data
 from sesamecross.ops.fleet import placement_draft
+from sesamecross.ops.fleet import placement_types as data
 
 # After a model was withdrawn, until no instance sends to it any more: what
 # instances tell each other arrives within this.
@@ -26,7 +26,7 @@
 SPARED_LOADS = 1
 
 
-def steps(inputs: data.Inputs, target: data.Target) -> list[data.Step]:
+def steps(inputs: data.Inputs, target: data.PlacementTarget) -> list[data.Step]:
     """Returns what to do now, so that engines come to hold the target."""
     draft = _Draft(inputs, target)
     _order_adapters(draft)
@@ -34,7 +34,7 @@
     return draft.steps
 
 
-def serving_again(
+def withdrawals_to_end(
     withdrawn: Iterable[tuple[str, str]], taken: Iterable[data.Step]
 ) -> list[tuple[str, str]]:
     """Returns what was withdrawn, by engine and model, and no step needs."""
@@ -60,7 +60,7 @@
         "running",
     )
 
-    def __init__(self, inputs: data.Inputs, target: data.Target):
+    def __init__(self, inputs: data.Inputs, target: data.PlacementTarget):
         self.inputs = inputs
         self.engines = {
             engine.name: engine
@@ -103,7 +103,7 @@
 
     def may_order(self, engine: data.Engine) -> bool:
         """Whether an engine may get an order of this plan."""
-        return engine.free_for_order and engine.name not in self.taken
+        return engine.can_take_order and engine.name not in self.taken
 
 
 # -- models ---------------------------------------------------------------
@@ -112,9 +112,9 @@
 def _order_models(draft: _Draft) -> None:
     wanted = []
     for instance_id, models in draft.target.items():
-        ledger = draft.engines[instance_id].ledger
+        inventory = draft.engines[instance_id].inventory
         for name in models:
-            if not ledger.holds_or_will(name):
+            if not inventory.is_held_or_loading(name):
                 worth, reason = _worth(draft, name)
                 wanted.append((worth, name, instance_id, reason))
     for worth, name, instance_id, reason in sorted(wanted, reverse=True):
@@ -129,11 +129,12 @@
     """
     demand = draft.inputs.demand_for(name)
     places = sum(
-        engine.ledger.holds_or_will(name) for engine in draft.engines.values()
+        engine.inventory.is_held_or_loading(name)
+        for engine in draft.engines.values()
     )
     if not places:
         worth = placement_draft.IDLE_VALUE
-        if demand.is_asked:
+        if demand.is_in_demand:
             worth = max(worth, demand.value)
         return worth, "is held nowhere"
     load = demand.load / places
@@ -149,7 +150,7 @@
 ) -> None:
     """Adds the next step towards a model at an engine."""
     inputs = draft.inputs
-    free_mb = inputs.spec.weights_mb - engine.ledger.used_mb(inputs.spec)
+    free_mb = inputs.spec.weights_mb - engine.inventory.used_mb(inputs.spec)
     if free_mb < inputs.size(name):
         _make_room(draft, engine, name, reason, worth)
         draft.reserve(engine, worth)
@@ -158,7 +159,7 @@
     if not draft.may_order(engine) or draft.is_kept_from(engine, takes_s):
         return
     # What nobody asks for leaves the store to what somebody may ask for next.
-    spared = 0 if inputs.demand_for(name).is_asked else SPARED_LOADS
+    spared = 0 if inputs.demand_for(name).is_in_demand else SPARED_LOADS
     if from_store and draft.store_loads <= spared:
         return
     draft.order(
@@ -175,7 +176,7 @@
     inputs = draft.inputs
     victims = [
         one
-        for one in sorted(engine.ledger.models)
+        for one in sorted(engine.inventory.models)
         if one not in draft.target[engine.name]
         and _may_go(draft, engine.name, one, worth)
     ]
@@ -206,7 +207,7 @@
     if not places:
         return True
     answers = any(
-        name in draft.engines[one].ledger.models
+        name in draft.engines[one].inventory.models
         for one in places
         if one != instance_id
     )
@@ -235,16 +236,16 @@
 
 
 def _order_adapter(draft: _Draft, engine: data.Engine, target: str) -> None:
-    ledger = engine.ledger
+    inventory = engine.inventory
     spec = draft.inputs.spec
     model = spec.models.get(target.partition("/")[0])
-    if model is None or model.name not in ledger.models:
+    if model is None or model.name not in inventory.models:
         return
     # One that departs has to be gone before it can be loaded again.
-    if ledger.holds_or_will(target) or target in ledger.departing:
+    if inventory.is_held_or_loading(target) or target in inventory.departing:
         return
-    free_mb = spec.weights_mb - ledger.used_mb(spec)
-    is_full = len(ledger.all_adapters()) >= spec.adapter_slots
+    free_mb = spec.weights_mb - inventory.used_mb(spec)
+    is_full = len(inventory.all_adapters()) >= spec.adapter_slots
     if is_full or free_mb < model.adapter_mb:
         victim = _idle_adapter(draft, engine)
         if victim is not None:
@@ -267,16 +268,16 @@
     An unload of one in use holds up all orders to the engine until its
     requests have ended, and what instances use is told some tenths late.
     """
-    ledger = engine.ledger
+    inventory = engine.inventory
     wanted = {
         want.target
         for want in draft.inputs.wants
         if want.instance_id == engine.name
     }
     idle = []
-    for target in ledger.adapters - wanted:
+    for target in inventory.adapters - wanted:
         used_s = max(
-            ledger.loaded_s.get(target, -math.inf),
+            inventory.loaded_s.get(target, -math.inf),
             draft.inputs.used_s.get((engine.name, target), -math.inf),
         )
         if draft.inputs.now_s - used_s >= ADAPTER_IDLE_S:
--- a/sesamecross/ops/fleet/placement_steps_test.py
+++ b/sesamecross/ops/fleet/placement_steps_test.py
@@ -10,10 +10,10 @@
 from sesamecross.fakes.placement_samples import engine
 from sesamecross.fakes.placement_samples import inputs
 from sesamecross.fakes.placement_samples import spec
-from sesamecross.ops.fleet import placement_data as data
 from sesamecross.ops.fleet import placement_draft
-from sesamecross.ops.fleet import placement_exchange
 from sesamecross.ops.fleet import placement_steps
+from sesamecross.ops.fleet import placement_swaps
+from sesamecross.ops.fleet import placement_types as data
 
 MOVES_S = LOAD_S + placement_draft.UNLOAD_S
 
@@ -45,7 +45,7 @@
         if one.kind is data.StepKind.UNLOAD
     ]
     assert unloads == ([("e1", "rare")] if at_once else [])
-    expected = placement_exchange.expected(given, given.target)
+    expected = placement_swaps.ready_times_s(given, given.target)
     assert expected["e1"]["busy"] == pytest.approx(wait_s + LOAD_S)
 
 
@@ -71,7 +71,7 @@
     withdrawn = {("e1", "rare"): -0.1}
     given = dataclasses.replace(given, withdrawn=withdrawn)
     got = placement_steps.steps(given, given.target)
-    assert placement_steps.serving_again(withdrawn, got) == serves_again
+    assert placement_steps.withdrawals_to_end(withdrawn, got) == serves_again
 
 
 @pytest.mark.parametrize(
@@ -127,8 +127,8 @@
 def test_adapters_make_way_when_they_are_idle(used_s, loaded_s, victim):
     """Guards against an unload that holds up all orders to an engine."""
     one = engine("e1", "m")
-    one.ledger.adapters.update({"m/a1", "m/a2"})
-    one.ledger.loaded_s.update({f"m/{k}": v for k, v in loaded_s.items()})
+    one.inventory.adapters.update({"m/a1", "m/a2"})
+    one.inventory.loaded_s.update({f"m/{k}": v for k, v in loaded_s.items()})
     adapters = serving.ServedModel("m", 40.0, 2.0, 0.5, 0.3, 5, 1.0)
     given = dataclasses.replace(
         inputs([one], {"m": demand(5.0)}, {"e1": ["m"]}),
--- a/sesamecross/ops/fleet/placement_exchange.py
+++ b/sesamecross/ops/fleet/placement_swaps.py
@@ -5,8 +5,8 @@
 still send the models that are worth most to where a load begins soonest.
 """
 
-from sesamecross.ops.fleet import placement_data as data
 from sesamecross.ops.fleet import placement_draft
+from sesamecross.ops.fleet import placement_types as data
 
 # A place where requests have to end first is given up for one where a load
 # can begin within this. Nothing else changes it: models that alternate
@@ -16,8 +16,8 @@
 EXCHANGE_TIMES = 2.0
 
 
-def expected(
-    inputs: data.Inputs, target: data.Target
+def ready_times_s(
+    inputs: data.Inputs, target: data.PlacementTarget
 ) -> dict[str, dict[str, float]]:
     """Returns in how many seconds planned models will answer, by engine.
 
@@ -40,11 +40,11 @@
 
 def _not_begun(draft: placement_draft.Draft, instance_id: str) -> list[str]:
     """Returns what an engine should hold and does not load, by its worth."""
-    ledger = draft.engines[instance_id].ledger
+    inventory = draft.engines[instance_id].inventory
     names = [
         name
         for name in draft.held[instance_id]
-        if not ledger.holds_or_will(name)
+        if not inventory.is_held_or_loading(name)
     ]
     return sorted(
         names, key=lambda name: (-draft.inputs.demand_for(name).value, name)
@@ -64,7 +64,7 @@
         (draft.inputs.demand_for(name).value, name, instance_id)
         for instance_id in draft.engines
         for name in _not_begun(draft, instance_id)
-        if draft.inputs.demand_for(name).is_asked
+        if draft.inputs.demand_for(name).is_in_demand
     ]
     planned.sort(key=lambda one: (-one[0], one[1:]))
     moved: set[tuple[str, str]] = set()
@@ -116,9 +116,9 @@
     """Moves what waits for requests to end to where a load can begin now."""
     for instance_id, engine in draft.engines.items():
         for name in sorted(draft.held[instance_id]):
-            if engine.ledger.holds_or_will(name):
+            if engine.inventory.is_held_or_loading(name):
                 continue
-            if not draft.inputs.demand_for(name).is_asked:
+            if not draft.inputs.demand_for(name).is_in_demand:
                 continue
             if placement_draft.waits_for(draft, engine, name) <= SOON_S:
                 continue
--- a/sesamecross/ops/fleet/placement_target.py
+++ b/sesamecross/ops/fleet/placement_target.py
@@ -16,9 +16,9 @@
 import dataclasses
 import itertools
 
-from sesamecross.ops.fleet import placement_data as data
 from sesamecross.ops.fleet import placement_draft
-from sesamecross.ops.fleet import placement_exchange
+from sesamecross.ops.fleet import placement_swaps
+from sesamecross.ops.fleet import placement_types as data
 
 # A load costs about as much as this many requests: the weight store's time,
 # and the engine's orders that wait meanwhile.
@@ -44,11 +44,11 @@
 MOVES_MOST = 12
 
 
-def target(inputs: data.Inputs) -> data.Target:
+def plan_target(inputs: data.Inputs) -> data.PlacementTarget:
     """Returns what each engine should hold."""
     draft = placement_draft.Draft(inputs, inputs.target)
-    placement_exchange.take_sooner(draft)
-    placement_exchange.exchange(draft)
+    placement_swaps.take_sooner(draft)
+    placement_swaps.exchange(draft)
     tried: set[str] = set()
     for _ in range(MOVES_MOST):
         name = _most_worth(draft, tried)
@@ -62,7 +62,7 @@
     return {name: frozenset(held) for name, held in draft.held.items()}
 
 
-def fill(inputs: data.Inputs) -> data.Target:
+def fill_free_room(inputs: data.Inputs) -> data.PlacementTarget:
     """Returns what engines hold, and what fits beside it."""
     draft = placement_draft.Draft(inputs, {})
     for name in sorted(inputs.spec.models):
@@ -111,8 +111,8 @@
     """
     demand = draft.inputs.demand_for(name)
     places = draft.places[name]
-    if not demand.is_asked:
-        is_missed = not places and draft.inputs.knows_engines
+    if not demand.is_in_demand:
+        is_missed = not places and draft.inputs.are_engines_known
         return placement_draft.IDLE_VALUE if is_missed else 0.0
     if not places:
         return demand.value * (1.0 + demand.starved_s / STARVED_S)
@@ -164,7 +164,7 @@
 def _is_free(draft: placement_draft.Draft, instance_id: str, name: str) -> bool:
     """Whether a model fits beside all that an engine holds."""
     inputs = draft.inputs
-    used = draft.engines[instance_id].ledger.used_mb(inputs.spec)
+    used = draft.engines[instance_id].inventory.used_mb(inputs.spec)
     used = max(used, inputs.spec.weights_mb - draft.free[instance_id])
     return used + inputs.size(name) <= inputs.spec.weights_mb
 
@@ -187,14 +187,16 @@
     takes = min(1.0, placement_draft.FULL_SHARE / busy) if busy > 0 else 1.0
     cost = 0.0
     delay_s = 0.0
-    if not engine.ledger.holds_or_will(name):
+    if not engine.inventory.is_held_or_loading(name):
         delay_s, from_store = inputs.load_time(engine, name)
         cost = LOAD_COST if from_store else LOAD_COST / 4
         delay_s += placement_draft.waits_for(draft, engine, name)
     left_over = draft.free[instance_id] + sum(map(inputs.size, victims))
     left_over -= inputs.size(name)
     cost += LEFT_OVER_COST * left_over / inputs.spec.weights_mb
-    horizon_s = placement_draft.HORIZON_S if demand.is_asked else IDLE_HORIZON_S
+    horizon_s = (
+        placement_draft.HORIZON_S if demand.is_in_demand else IDLE_HORIZON_S
+    )
     win = gain * takes * max(0.0, horizon_s - delay_s)
     # An engine's load is everybody's wait there.
     win -= gain * busy
--- a/sesamecross/ops/fleet/placement_target_test.py
+++ b/sesamecross/ops/fleet/placement_target_test.py
@@ -7,7 +7,7 @@
 from sesamecross.fakes.placement_samples import engine
 from sesamecross.fakes.placement_samples import inputs
 from sesamecross.ops.fleet import placement_draft
-from sesamecross.ops.fleet import placement_exchange
+from sesamecross.ops.fleet import placement_swaps
 from sesamecross.ops.fleet import placement_target
 
 
@@ -21,7 +21,7 @@
     """
     # `other` serves twelve requests at e1 and makes way there; `idle` at e2
     # serves none.
-    got = placement_target.target(
+    got = placement_target.plan_target(
         inputs(
             [engine("e1", "other", "stays"), engine("e2", "idle", "stays-too")],
             {
@@ -40,7 +40,7 @@
 def test_models_exchange_no_places_where_nothing_is_won():
     """Both places are free at once: the plan stays as it was."""
     before = {"e1": frozenset({"busy"}), "e2": frozenset({"rare"})}
-    got = placement_target.target(
+    got = placement_target.plan_target(
         inputs(
             [engine("e1"), engine("e2")],
             {"busy": demand(18.0), "rare": demand(0.7)},
@@ -88,5 +88,5 @@
 def test_planned_models_are_expected_in_time(engines, target, in_use, expected):
     demands = {"busy": demand(18.0), "rare": demand(0.7)}
     given = inputs(engines, demands, target, in_use)
-    got = placement_exchange.expected(given, given.target)
+    got = placement_swaps.ready_times_s(given, given.target)
     assert got["e1"] == pytest.approx(expected)
--- a/sesamecross/ops/fleet/placement_data.py
+++ b/sesamecross/ops/fleet/placement_types.py
@@ -9,7 +9,7 @@
 import enum
 
 from sesamecross.core import serving
-from sesamecross.ops.fleet import engine_ledger
+from sesamecross.ops.fleet import engine_inventory
 
 # A model counts as asked for until its long-smoothed rate falls below this,
 # or while a request waits for it: one request keeps it for 9 s, a busy model
@@ -40,7 +40,7 @@
     starved_s: float = 0.0
 
     @property
-    def is_asked(self) -> bool:
+    def is_in_demand(self) -> bool:
         """Whether it should be held somewhere."""
         return self.waiting > 0 or self.usual >= ASKED_RATE
 
@@ -64,14 +64,14 @@
       is_leaving: It still serves, but what it holds has to be elsewhere.
     """
 
-    ledger: engine_ledger.EngineLedger
-    free_for_order: bool
+    inventory: engine_inventory.EngineInventory
+    can_take_order: bool
     is_leaving: bool
 
     @property
     def name(self) -> str:
         """Its instance id."""
-        return self.ledger.instance_id
+        return self.inventory.instance_id
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -82,7 +82,7 @@
     target: str
 
 
-Target = Mapping[str, frozenset[str]]
+PlacementTarget = Mapping[str, frozenset[str]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -107,11 +107,11 @@
     demand: Mapping[str, ModelDemand]
     in_use: Mapping[tuple[str, str], int]
     withdrawn: Mapping[tuple[str, str], float]
-    target: Target
+    target: PlacementTarget
     wants: tuple[AdapterWant, ...]
     store_loads: int
-    knows_demand: bool
-    knows_engines: bool
+    is_demand_known: bool
+    are_engines_known: bool
     now_s: float
     used_s: Mapping[tuple[str, str], float] = dataclasses.field(
         default_factory=dict
@@ -145,7 +145,7 @@
     def load_time(self, engine: Engine, name: str) -> tuple[float, bool]:
         """Returns how long a load takes, and whether the store is asked."""
         model = self.spec.models[name]
-        copies = engine.ledger.copies
+        copies = engine.inventory.copies
         if name in copies.in_memory:
             return model.memory_load_s, False
         if name in copies.on_disk:
--- a/sesamecross/ops/fleet/prompt_cache.py
+++ b/sesamecross/ops/fleet/prefix_cache.py
@@ -16,7 +16,7 @@
 KEPT = 2048
 
 
-class PromptCache:
+class PrefixCache:
     """Beginnings of prompts by the parts that they are made of."""
 
     __slots__ = ("_kept",)
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self._kept: OrderedDict[int, None] = OrderedDict()
 
-    def kept_tokens(self, call: serving.ModelCall) -> int:
+    def cached_tokens(self, call: serving.ModelCall) -> int:
         """Returns how many leading tokens are probably kept."""
         tokens = 0
         for key, part in _beginnings(call):
@@ -33,7 +33,7 @@
             tokens += part.tokens
         return tokens
 
-    def sent(self, call: serving.ModelCall) -> None:
+    def record_prompt(self, call: serving.ModelCall) -> None:
         """Notes that a prompt went there."""
         for key, _ in _beginnings(call):
             self._kept[key] = None
--- a/sesamecross/ops/fleet/reach.py
+++ b/sesamecross/ops/fleet/reachability.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Reach:
+class Reachability:
     """When one instance heard of an upstream, or did not.
 
     Attributes:
@@ -43,15 +43,15 @@
     _silent_s: float = -COUNTS_S
     _refused_s: float = -COUNTS_S
 
-    def heard(self, now_s: float) -> None:
+    def record_contact(self, now_s: float) -> None:
         """An event or an answer came."""
         self.heard_s = now_s
 
-    def refused(self, now_s: float) -> None:
+    def record_refusal(self, now_s: float) -> None:
         """A connection was refused."""
         self._refused_s = now_s
 
-    def silent(self, now_s: float) -> None:
+    def record_timeout(self, now_s: float) -> None:
         """A connection was not accepted in time."""
         self._silent_s = now_s
 
@@ -71,24 +71,24 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reports:
+class ReachabilityCounts:
     """How many instances hear an upstream, or find it silent or refusing."""
 
     hears: int = 0
     silent: int = 0
     refused: int = 0
 
-    def plus(self, state: State) -> "Reports":
+    def plus(self, state: State) -> "ReachabilityCounts":
         """Returns the counts with one more instance's state."""
-        return Reports(
+        return ReachabilityCounts(
             self.hears + (state is State.HEARS),
             self.silent + (state is State.SILENT),
             self.refused + (state is State.REFUSED),
         )
 
-    def with_all(self, other: "Reports") -> "Reports":
+    def with_all(self, other: "ReachabilityCounts") -> "ReachabilityCounts":
         """Returns the sums."""
-        return Reports(
+        return ReachabilityCounts(
             self.hears + other.hears,
             self.silent + other.silent,
             self.refused + other.refused,
--- a/sesamecross/ops/fleet/figures.py
+++ b/sesamecross/ops/fleet/report_totals.py
@@ -10,7 +10,7 @@
 
 from sesamecross.core import fleet_messages as fm
 from sesamecross.ops.fleet import health
-from sesamecross.ops.fleet import reach
+from sesamecross.ops.fleet import reachability
 
 # A report older than this no longer counts; members send every 0.4 s at
 # least, summaries cross regions and may be lost.
@@ -20,12 +20,12 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Sums:
+class Totals:
     """Figures of several sources, added up."""
 
     running: dict[str, int]
     prompt_tokens: dict[str, int]
-    reports: dict[str, reach.Reports]
+    reports: dict[str, reachability.ReachabilityCounts]
     in_use: dict[tuple[str, str], int]
     demand: dict[tuple[str, str], fm.TargetDemand]
     failing: dict[str, health.Outcomes]
@@ -59,17 +59,19 @@
         ]
 
 
-def add_up(sources: Iterable[Source | fm.View]) -> Sums:
+def aggregate(sources: Iterable[Source | fm.View]) -> Totals:
     """Returns the sums over reports and summaries."""
-    sums = Sums({}, {}, {}, {}, {}, {})
+    sums = Totals({}, {}, {}, {}, {}, {})
     for source in sources:
         for load in source.loads:
             name = load.upstream
             sums.running[name] = sums.running.get(name, 0) + load.running
             tokens = sums.prompt_tokens.get(name, 0) + load.prompt_tokens
             sums.prompt_tokens[name] = tokens
-            known = sums.reports.get(name, reach.Reports())
-            told = reach.Reports(load.hears, load.silent, load.refused)
+            known = sums.reports.get(name, reachability.ReachabilityCounts())
+            told = reachability.ReachabilityCounts(
+                load.hears, load.silent, load.refused
+            )
             sums.reports[name] = known.with_all(told)
         for use in source.uses:
             key = (use.upstream, use.target)
@@ -115,7 +117,7 @@
     return sum(rate * time_s for rate, time_s in known) / total
 
 
-class Latest:
+class LatestMessages:
     """The last message of each sender, as long as it is fresh."""
 
     __slots__ = ("_messages",)
@@ -143,7 +145,7 @@
             if now_s - at_s < KEEP_S
         ]
 
-    def number_of(self, name: str) -> int:
+    def last_number(self, name: str) -> int:
         """Returns the number of a sender's last message, or 0."""
         known = self._messages.get(name)
         return known[0].number if known else 0
--- a/sesamecross/ops/fleet/retry_window.py
+++ b/sesamecross/ops/fleet/retry_budget.py
@@ -22,12 +22,12 @@
 _MARGIN = 0.7
 
 
-def part_of(name: str) -> float:
+def rounding_offset(name: str) -> float:
     """Returns an instance's fraction, between 0 and 1, spread over names."""
     return xxhash.xxh32_intdigest(name.encode()) / 2**32
 
 
-class RetryWindow:
+class RetryBudget:
     """One instance's part of the budget of one service."""
 
     __slots__ = (
@@ -42,12 +42,12 @@
     def __init__(
         self, share: float, extra: float, window_s: float, part: float
     ):
-        self.hold_to(share, extra, window_s)
+        self.set_limits(share, extra, window_s)
         self._part = part
         self._requests: deque[float] = deque()
         self._repeats: deque[float] = deque()
 
-    def hold_to(self, share: float, extra: float, window_s: float) -> None:
+    def set_limits(self, share: float, extra: float, window_s: float) -> None:
         """Goes by these figures from now on; what was spent stays spent."""
         self._share = share
         self._extra = extra
--- a/sesamecross/ops/fleet/attempts.py
+++ b/sesamecross/ops/fleet/retry_policy.py
@@ -53,7 +53,7 @@
 Failure = NotSent | NotRun | Lost | FailedThere
 
 
-class Next(enum.Enum):
+class NextAction(enum.Enum):
     """What to do now.
 
     Attributes:
@@ -70,7 +70,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Progress:
+class AttemptHistory:
     """How far one request has come.
 
     Attributes:
@@ -80,7 +80,7 @@
       has_output: Whether some of an answer went to the caller.
     """
 
-    ran_at: set[str] = dataclasses.field(default_factory=set)
+    possibly_ran_at: set[str] = dataclasses.field(default_factory=set)
     tries: int = 0
     sends: int = 0
     has_output: bool = False
@@ -94,12 +94,12 @@
 TRIES_MOST = 8
 
 
-def after_failure(
+def decide_after_failure(
     route: serving.Route,
     failure: Failure,
-    progress: Progress,
+    progress: AttemptHistory,
     may_spend: bool,
-) -> Next:
+) -> NextAction:
     """Decides what follows a failed attempt.
 
     Args:
@@ -114,29 +114,30 @@
         return _final(failure, progress)
     if progress.sends == 0:
         # Nothing arrived anywhere yet, so nothing is sent again.
-        return Next.RETRY
+        return NextAction.RETRY
     if progress.sends >= SENDS_MOST or not may_spend:
         return _final(failure, progress)
-    return Next.RETRY
+    return NextAction.RETRY
 
 
 def _may_send_again(
-    route: serving.Route, failure: Failure, progress: Progress
+    route: serving.Route, failure: Failure, progress: AttemptHistory
 ) -> bool:
     match failure:
         case NotSent() | NotRun():
-            return route.may_repeat or not progress.ran_at
+            return route.may_repeat or not progress.possibly_ran_at
         case Lost() | FailedThere():
             return (
-                route.may_repeat and len(progress.ran_at) < route.max_upstreams
+                route.may_repeat
+                and len(progress.possibly_ran_at) < route.max_upstreams
             )
     return False
 
 
-def _final(failure: Failure, progress: Progress) -> Next:
+def _final(failure: Failure, progress: AttemptHistory) -> NextAction:
     match failure:
         case FailedThere():
-            return Next.DELIVER
-        case NotSent() | NotRun() if not progress.ran_at:
-            return Next.REFUSE
-    return Next.FAIL
+            return NextAction.DELIVER
+        case NotSent() | NotRun() if not progress.possibly_ran_at:
+            return NextAction.REFUSE
+    return NextAction.FAIL
--- a/sesamecross/ops/fleet/attempts_test.py
+++ b/sesamecross/ops/fleet/retry_policy_test.py
@@ -6,8 +6,8 @@
 import pytest
 
 from sesamecross.core import serving
-from sesamecross.ops.fleet import attempts
-from sesamecross.ops.fleet import retry_window
+from sesamecross.ops.fleet import retry_budget
+from sesamecross.ops.fleet import retry_policy
 
 
 def route(kind, resumable=False, max_upstreams=2) -> serving.Route:
@@ -31,35 +31,56 @@
 AGAIN = route(serving.RouteKind.IDEMPOTENT)
 STREAM = route(serving.RouteKind.STREAM)
 RESUMABLE = route(serving.RouteKind.STREAM, resumable=True)
-Next = attempts.Next
+NextAction = retry_policy.NextAction
 
 
 @pytest.mark.parametrize(
-    ("of", "failure", "ran_at", "sends", "may_spend", "expected"),
+    ("of", "failure", "possibly_ran_at", "sends", "may_spend", "expected"),
     [
         # Nothing was sent: any other upstream will do, at no cost.
-        (ONCE, attempts.NotSent("refused"), (), 0, False, Next.RETRY),
+        (ONCE, retry_policy.NotSent("refused"), (), 0, False, NextAction.RETRY),
         # The upstream's own word that it did not run it.
-        (ONCE, attempts.NotRun(503), (), 1, True, Next.RETRY),
-        (ONCE, attempts.NotRun(503), (), 1, False, Next.REFUSE),
+        (ONCE, retry_policy.NotRun(503), (), 1, True, NextAction.RETRY),
+        (ONCE, retry_policy.NotRun(503), (), 1, False, NextAction.REFUSE),
         # It may have run: never again, and nothing is promised.
-        (ONCE, attempts.Lost("reset"), ("x",), 1, True, Next.FAIL),
-        (STREAM, attempts.Lost("reset"), ("x",), 1, True, Next.FAIL),
-        (ONCE, attempts.FailedThere(500), ("x",), 1, True, Next.DELIVER),
+        (ONCE, retry_policy.Lost("reset"), ("x",), 1, True, NextAction.FAIL),
+        (STREAM, retry_policy.Lost("reset"), ("x",), 1, True, NextAction.FAIL),
+        (
+            ONCE,
+            retry_policy.FailedThere(500),
+            ("x",),
+            1,
+            True,
+            NextAction.DELIVER,
+        ),
         # It may run twice, at as many upstreams as the route allows.
-        (AGAIN, attempts.Lost("reset"), ("x",), 1, True, Next.RETRY),
-        (AGAIN, attempts.Lost("reset"), ("x",), 1, False, Next.FAIL),
-        (AGAIN, attempts.Lost("reset"), ("x", "y"), 2, True, Next.FAIL),
-        (RESUMABLE, attempts.Lost("reset"), ("x",), 1, True, Next.RETRY),
+        (AGAIN, retry_policy.Lost("reset"), ("x",), 1, True, NextAction.RETRY),
+        (AGAIN, retry_policy.Lost("reset"), ("x",), 1, False, NextAction.FAIL),
+        (
+            AGAIN,
+            retry_policy.Lost("reset"),
+            ("x", "y"),
+            2,
+            True,
+            NextAction.FAIL,
+        ),
+        (
+            RESUMABLE,
+            retry_policy.Lost("reset"),
+            ("x",),
+            1,
+            True,
+            NextAction.RETRY,
+        ),
         # An earlier attempt may have run: 503 would not be true any more.
-        (AGAIN, attempts.NotRun(503), ("x",), 2, False, Next.FAIL),
+        (AGAIN, retry_policy.NotRun(503), ("x",), 2, False, NextAction.FAIL),
     ],
 )
 def test_what_follows_a_failure(
-    of, failure, ran_at, sends, may_spend, expected
+    of, failure, possibly_ran_at, sends, may_spend, expected
 ):
-    progress = attempts.Progress(set(ran_at), sends, sends)
-    got = attempts.after_failure(of, failure, progress, may_spend)
+    progress = retry_policy.AttemptHistory(set(possibly_ran_at), sends, sends)
+    got = retry_policy.decide_after_failure(of, failure, progress, may_spend)
     assert got is expected
 
 
@@ -80,36 +101,38 @@
 
     Upstreams refuse, lose and fail in any order; a lost request may have run.
     """
-    progress = attempts.Progress()
+    progress = retry_policy.AttemptHistory()
     runs = 0
     for number, (fate, has_run) in enumerate(fates):
         upstream = f"u{number}"
         progress.tries += 1
         match fate:
             case "not sent":
-                failure = attempts.NotSent("refused")
+                failure = retry_policy.NotSent("refused")
             case "not run":
                 progress.sends += 1
-                failure = attempts.NotRun(503)
+                failure = retry_policy.NotRun(503)
             case "lost":
                 progress.sends += 1
-                progress.ran_at.add(upstream)
+                progress.possibly_ran_at.add(upstream)
                 runs += has_run
-                failure = attempts.Lost("reset")
+                failure = retry_policy.Lost("reset")
             case _:
                 progress.sends += 1
-                progress.ran_at.add(upstream)
+                progress.possibly_ran_at.add(upstream)
                 runs += 1
-                failure = attempts.FailedThere(500)
-        following = attempts.after_failure(of, failure, progress, True)
-        if following is Next.REFUSE:
+                failure = retry_policy.FailedThere(500)
+        following = retry_policy.decide_after_failure(
+            of, failure, progress, True
+        )
+        if following is NextAction.REFUSE:
             assert runs == 0
-            assert not progress.ran_at
-        if following is not Next.RETRY:
+            assert not progress.possibly_ran_at
+        if following is not NextAction.RETRY:
             break
     else:
         # Whatever happens, it comes to an end.
-        assert len(fates) < attempts.TRIES_MOST + attempts.SENDS_MOST
+        assert len(fates) < retry_policy.TRIES_MOST + retry_policy.SENDS_MOST
     assert runs <= (of.max_upstreams if of.may_repeat else 1)
 
 
@@ -122,8 +145,11 @@
     """
     share, extra, window_s = 0.2, 54.0, 10.0
     windows = [
-        retry_window.RetryWindow(
-            share, extra, window_s, retry_window.part_of(f"instance-{number}")
+        retry_budget.RetryBudget(
+            share,
+            extra,
+            window_s,
+            retry_budget.rounding_offset(f"instance-{number}"),
         )
         for number in range(instances)
     ]
@@ -145,8 +171,8 @@
 def test_an_instance_that_knows_of_no_others_spends_little():
     """A hundred instances that are cut off from each other keep the budget."""
     spent = 0
-    for number in range(retry_window.INSTANCES_UNKNOWN):
-        part = retry_window.part_of(f"instance-{number}")
-        window = retry_window.RetryWindow(0.2, 54.0, 10.0, part)
+    for number in range(retry_budget.INSTANCES_UNKNOWN):
+        part = retry_budget.rounding_offset(f"instance-{number}")
+        window = retry_budget.RetryBudget(0.2, 54.0, 10.0, part)
         spent += sum(window.spend(1.0, None) for _ in range(100))
     assert 0 < spent <= 54.0
--- a/sesamecross/ops/fleet/roster.py
+++ b/sesamecross/ops/fleet/roster.py
@@ -15,7 +15,7 @@
 # An instance that was not heard of for this long does not count. Members
 # send at least every HEARTBEAT_S (0.4 s); three in a row may get lost.
 ALIVE_S = 1.6
-HEARTBEAT_S = 0.4
+HEARTBEAT_INTERVAL_S = 0.4
 # Registered instances that were never heard of are tried this long after the
 # own start: all instances of a deployment start at about the same time.
 GRACE_S = 3.0
--- a/sesamecross/ops/fleet/choosing.py
+++ b/sesamecross/ops/fleet/service_choice.py
@@ -26,13 +26,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class Location:
     """Where this instance stands."""
 
     zone: str
     regions: dict[str, str]
 
-    def distance_s(self, zone: str) -> float:
+    def round_trip_s(self, zone: str) -> float:
         """Returns the time there and back."""
         if zone == self.zone:
             return 0.0
@@ -42,14 +42,14 @@
 
 
 def expected_s(
-    known: directory.KnownUpstream, place: Place, now_s: float
+    known: directory.KnownUpstream, location: Location, now_s: float
 ) -> float:
     """Returns the time that an answer is expected to take."""
     work_s = known.work_s or START_WORK_S
     slots = max(1, known.entry.slots)
     waiting = max(0.0, known.running + 1 - slots)
     return (
-        place.distance_s(known.entry.zone)
+        location.round_trip_s(known.entry.zone)
         + work_s * (1 + waiting / slots)
         + known.failing(now_s) * FAILURE_S
     )
@@ -57,12 +57,12 @@
 
 def choose(
     candidates: Iterable[directory.KnownUpstream],
-    place: Place,
+    location: Location,
     now_s: float,
     rng: random.Random,
 ) -> directory.KnownUpstream | None:
     """Returns the candidate with the least expected time, or None."""
-    rated = [(expected_s(one, place, now_s), one) for one in candidates]
+    rated = [(expected_s(one, location, now_s), one) for one in candidates]
     if not rated:
         return None
     best_s = min(rate for rate, _ in rated)
--- a/sesamecross/ops/fleet/stopping.py
+++ b/sesamecross/ops/fleet/stopping.py
@@ -18,7 +18,7 @@
 # Requests this soon after the signal are taken in any case: their callers
 # were sent here by a balancer that cannot know yet, and the longest streams
 # of the first deployments end within the rest of the grace.
-ACCEPT_S = 2.2
+ACCEPT_ALL_S = 2.2
 # A stream's wait for its turn and its first event.
 FIRST_S = 1.0
 # Each of its tokens, at an engine with a full batch: 83 ms for an event of
@@ -51,7 +51,7 @@
         """Whether a request that arrives now is answered before the end."""
         if now_s >= self.ends_s:
             return False
-        if now_s - self.begun_s < ACCEPT_S:
+        if now_s - self.begun_s < ACCEPT_ALL_S:
             return True
         lasts_s = route.timeout_s
         if call is not None:
--- a/sesamecross/ops/fleet/reading.py
+++ b/sesamecross/ops/fleet/store_polling.py
@@ -16,7 +16,7 @@
 
 # Between two reads of the list by one instance. At 0.4 s six hubs made 900
 # calls in 60 s, two thirds of all that 23 instances made.
-READ_EVERY_S = 0.7
+READ_INTERVAL_S = 0.7
 # Upstreams renew their records every 1 to 1.2 s, so the list moves on several
 # times a second. A hub that has read nothing for this long may be unable to.
 STALLED_S = 1.2
@@ -25,19 +25,19 @@
 # store is back: they allow 2.5 s and more. Members hear of it from their hub;
 # calls that are refused are paid for too, and 73 instances that asked on made
 # 3,000 of them in an outage.
-READER_PAUSE_S = 0.8
-MEMBER_PAUSE_S = 4.0
+READER_MAX_BACKOFF_S = 0.8
+MEMBER_MAX_BACKOFF_S = 4.0
 # How long a member lacks what others have until it asks for it, and a reader,
 # who gets it from the store unless that turns it away.
-MEMBER_PATIENCE_S = 0.3
-READER_PATIENCE_S = 0.9
+MEMBER_FETCH_DELAY_S = 0.3
+READER_FETCH_DELAY_S = 0.9
 
 # How far an instance has come: the version of the configuration, and the
 # offset up to which it knows the upstreams.
 Progress = tuple[int, int]
 
 
-class Hub:
+class HubProgress:
     """How the hub of this instance's zone gets on with reading."""
 
     __slots__ = ("_name", "_end", "_moved_s")
@@ -47,7 +47,7 @@
         self._end = -1
         self._moved_s: float | None = None
 
-    def spoke(self, name: str, end: int, now_s: float) -> None:
+    def record_position(self, name: str, end: int, now_s: float) -> None:
         """Takes in up to where a hub says that it has read."""
         if name != self._name or end > self._end:
             self._name = name
@@ -68,7 +68,7 @@
         self._lacks: Progress | None = None
         self._since_s = 0.0
 
-    def lasts_s(
+    def duration_s(
         self, mine: Progress, best: Progress | None, now_s: float
     ) -> float:
         """Returns for how long something has been lacking.
--- a/sesamecross/ops/fleet/reading_test.py
+++ b/sesamecross/ops/fleet/store_polling_test.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from sesamecross.ops.fleet import reading
+from sesamecross.ops.fleet import store_polling
 
 
 def test_members_read_for_themselves_where_their_hub_gets_no_further():
@@ -12,41 +12,44 @@
     that read for all. They went on speaking to their zones, so nobody else
     read, and nobody learned that the engine was leaving.
     """
-    hub = reading.Hub()
+    hub = store_polling.HubProgress()
     assert hub.is_stalled(0.0)
     for step in range(20):
-        hub.spoke("hub", step, step * 0.1)
+        hub.record_position("hub", step, step * 0.1)
         assert not hub.is_stalled(step * 0.1)
     # It goes on speaking, and reads nothing more.
     for step in range(20, 40):
-        hub.spoke("hub", 19, step * 0.1)
+        hub.record_position("hub", 19, step * 0.1)
     assert hub.is_stalled(4.0)
-    hub.spoke("hub", 25, 4.1)
+    hub.record_position("hub", 25, 4.1)
     assert not hub.is_stalled(4.2)
 
 
 def test_another_hub_is_believed_at_first():
-    hub = reading.Hub()
-    hub.spoke("one", 19, 0.0)
-    hub.spoke("two", 17, 2.0)
+    hub = store_polling.HubProgress()
+    hub.record_position("one", 19, 0.0)
+    hub.record_position("two", 17, 2.0)
     assert not hub.is_stalled(2.1)
 
 
 def test_news_that_come_all_the_time_are_no_lag():
     """A reader that was a moment behind for ever asked others for ever."""
-    lag = reading.Lag()
+    lag = store_polling.Lag()
     for step in range(100):
         now_s = step * 0.1
         mine, best = (1, step), (1, step + 2)
-        assert lag.lasts_s(mine, best, now_s) < reading.MEMBER_PATIENCE_S
+        assert (
+            lag.duration_s(mine, best, now_s)
+            < store_polling.MEMBER_FETCH_DELAY_S
+        )
 
 
 def test_what_stays_missing_is_a_lag_though_other_news_come():
-    lag = reading.Lag()
-    lag.lasts_s((1, 5), (1, 6), 0.0)
-    assert lag.lasts_s((1, 5), (1, 40), 2.0) == 2.0
+    lag = store_polling.Lag()
+    lag.duration_s((1, 5), (1, 6), 0.0)
+    assert lag.duration_s((1, 5), (1, 40), 2.0) == 2.0
     # The upstreams are known by now, a configuration is not.
-    assert lag.lasts_s((1, 40), (2, 40), 2.1) == 0.0
-    assert lag.lasts_s((1, 60), (2, 60), 3.1) == pytest.approx(1.0)
-    assert lag.lasts_s((2, 60), None, 3.2) == 0.0
-    assert lag.lasts_s((2, 60), (2, 61), 9.0) == 0.0
+    assert lag.duration_s((1, 40), (2, 40), 2.1) == 0.0
+    assert lag.duration_s((1, 60), (2, 60), 3.1) == pytest.approx(1.0)
+    assert lag.duration_s((2, 60), None, 3.2) == 0.0
+    assert lag.duration_s((2, 60), (2, 61), 9.0) == 0.0
--- a/sesamecross/ops/fleet/raw_catalog.py
+++ b/sesamecross/ops/fleet/topic_records.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class RawCatalog:
+class TopicRecords:
     """What is known of one keyed topic.
 
     Attributes:
@@ -35,7 +35,7 @@
         self.records[record.key] = record
         return True
 
-    def reached(self, end: int) -> None:
+    def advance_end(self, end: int) -> None:
         """All records before `end` were taken in."""
         self.end = max(self.end, end)
 
--- a/sesamecross/ops/fleet/patience.py
+++ b/sesamecross/ops/fleet/wait_policy.py
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ComeBack:
+class RetryAfter:
     """Refuse now; the caller should come back after this."""
 
     after_s: float
@@ -62,13 +62,15 @@
     )
 
 
-def leaves_s(route: serving.Route, arrived_s: float, ends_s: float) -> float:
+def send_deadline_s(
+    route: serving.Route, arrived_s: float, ends_s: float
+) -> float:
     """Returns until when a request can be sent and still be served."""
     return min(ends_s, arrived_s + patience_s(route)) - MARGIN_S
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Window:
+class RequestTimes:
     """When a request arrived, and until when it can wait.
 
     Attributes:
@@ -77,11 +79,11 @@
     """
 
     arrived_s: float
-    leaves_s: float
+    send_deadline_s: float
     ends_s: float
 
 
-class Missing:
+class MissedModels:
     """Since when requests of one instance have found a model nowhere."""
 
     __slots__ = ("_seen",)
@@ -101,11 +103,11 @@
 
 
 def decide_model(
-    window: Window,
+    window: RequestTimes,
     arrives_s: float | None,
     missed_s: float,
     now_s: float,
-) -> Wait | ComeBack:
+) -> Wait | RetryAfter:
     """Decides whether a request waits for its model.
 
     The pattern: more models are asked for than fit, and a request for one that
@@ -121,30 +123,30 @@
       now_s: Monotonic time.
     """
     if arrives_s is None or arrives_s < now_s - SLIP_S:
-        until_s = min(window.leaves_s, missed_s + NEWS_S)
+        until_s = min(window.send_deadline_s, missed_s + NEWS_S)
         if now_s < until_s:
             return Wait(until_s)
-        return ComeBack(back_s(NO_PLACE_S, window.ends_s, now_s))
-    if arrives_s <= window.leaves_s and now_s < window.leaves_s:
-        return Wait(min(window.leaves_s, max(arrives_s, now_s) + SLIP_S))
+        return RetryAfter(retry_after_s(NO_PLACE_S, window.ends_s, now_s))
+    if arrives_s <= window.send_deadline_s and now_s < window.send_deadline_s:
+        return Wait(min(window.send_deadline_s, max(arrives_s, now_s) + SLIP_S))
     wished_s = max(arrives_s - now_s, SLIP_S)
-    return ComeBack(back_s(wished_s, window.ends_s, now_s))
+    return RetryAfter(retry_after_s(wished_s, window.ends_s, now_s))
 
 
-def decide_adapter(window: Window, now_s: float) -> Wait | ComeBack:
+def decide_adapter(window: RequestTimes, now_s: float) -> Wait | RetryAfter:
     """Decides whether a request waits for an adapter of a model that is there.
 
     Adapters take some milliseconds; they wait only where all places for
     adapters are in use.
     """
-    waits_s = (window.leaves_s - window.arrived_s) * ADAPTER_SHARE
+    waits_s = (window.send_deadline_s - window.arrived_s) * ADAPTER_SHARE
     until_s = window.arrived_s + waits_s
     if now_s < until_s:
         return Wait(until_s)
-    return ComeBack(back_s(ADAPTER_BACK_S, window.ends_s, now_s))
+    return RetryAfter(retry_after_s(ADAPTER_BACK_S, window.ends_s, now_s))
 
 
-def back_s(wished_s: float, ends_s: float, now_s: float) -> float:
+def retry_after_s(wished_s: float, ends_s: float, now_s: float) -> float:
     """Returns after how long to come back, as far as callers wait at all."""
     most_s = (ends_s - now_s) * BACK_SHARE
     return max(LEAST_BACK_S, min(wished_s, most_s))
