--- a/sesamecross/devtools/capacity.py
+++ b/sesamecross/devtools/capacity.py
@@ -140,15 +140,15 @@
     table = membership.Membership(_member(0), 2500)
     known = {m.incarnation.instance: m for m in map(_member, range(count))}
     for member in known.values():
-        table.introduce(member, 0)
+        table.add_member(member, 0)
     me = _member(0).incarnation.instance
     heartbeat = messages.Heartbeat(_member(0), 1, 10**6, 10**4, True, False)
     size = len(codec.encode(heartbeat)) + 32
-    links = overlay.links_of(me, known)
+    links = overlay.stream_peers(me, known)
     return {
         "members": count,
         "tick_ms": _ms(lambda: table.tick(1000)),
-        "links_ms": _ms(lambda: overlay.links_of(me, known)),
+        "links_ms": _ms(lambda: overlay.stream_peers(me, known)),
         "streams_opened": len(links),
         "heartbeat_bytes": size,
     }
@@ -211,7 +211,9 @@
 def routing_cost(upstreams: int) -> dict:
     """Measures one call's decisions with so many candidates."""
     one = dispatch.Dispatcher(
-        routing.Place("z0", "r0", {}), routing.Estimated(), random.Random(1)
+        routing.EntryLocation("z0", "r0", {}),
+        routing.LowestEstimatedCost(),
+        random.Random(1),
     )
     declared = declarations.parse(tree(max(3, upstreams), 1)).declarations
     one.configure(declared, 8)
--- a/sesamecross/entry/answers.py
+++ b/sesamecross/entry/answers.py
@@ -6,27 +6,27 @@
 import msgspec
 
 from sesamecross.entry import model_request
-from sesamecross.ops import answer_check
+from sesamecross.ops import answer_validator
 
 SSE_TYPE = "text/event-stream"
 DONE_EVENT = b"data: [DONE]\n\n"
 
 
 def event_bytes(
-    chunks: Iterable[answer_check.Chunk], wants_usage: bool
+    chunks: Iterable[answer_validator.Chunk], wants_usage: bool
 ) -> bytes:
     """Returns events as a streaming caller should get them."""
     return b"".join(
         b"data: " + chunk.data + b"\n\n"
         for chunk in chunks
-        if wants_usage or not chunk.only_usage
+        if wants_usage or not chunk.is_usage_only
     )
 
 
 def whole_body(
     call_id: str,
     request: model_request.ModelRequest,
-    chunks: Iterable[answer_check.Chunk],
+    chunks: Iterable[answer_validator.Chunk],
 ) -> bytes:
     """Returns the one document of a call that is not streamed."""
     text: list[str] = []
--- a/sesamecross/entry/app.py
+++ b/sesamecross/entry/app.py
@@ -38,7 +38,7 @@
             f"entry/{settings.instance}", settings.zone, clock
         )
         rng = random.Random(os.urandom(8))
-        place = routing.Place(settings.zone, settings.region, {})
+        place = routing.EntryLocation(settings.zone, settings.region, {})
         self._state = state_lib.EntryState(self.recorder)
         self._desk = model_desk.ModelDesk(
             place, routing.policy_of(settings.policy), clock, rng
--- a/sesamecross/entry/http_app.py
+++ b/sesamecross/entry/http_app.py
@@ -21,7 +21,7 @@
 from sesamecross.entry import service_call
 from sesamecross.entry import sinks
 from sesamecross.entry import state as state_lib
-from sesamecross.ops import answer_check
+from sesamecross.ops import answer_validator
 from sesamecross.ops import routing
 from sesamecross.ops import timeline
 from sesamecross.parser import settings as settings_lib
@@ -368,7 +368,7 @@
         request: _Request,
         wanted: model_request.ModelRequest,
         relayed: model_call.ModelCall,
-        first: list[answer_check.Chunk],
+        first: list[answer_validator.Chunk],
         start_response: Any,
     ) -> Iterator[bytes]:
         headers = [
--- a/sesamecross/entry/model_call.py
+++ b/sesamecross/entry/model_call.py
@@ -12,7 +12,7 @@
 from sesamecross.entry import model_request
 from sesamecross.entry import pump as pump_lib
 from sesamecross.entry import sinks
-from sesamecross.ops import answer_check
+from sesamecross.ops import answer_validator
 from sesamecross.ops import dispatch
 from sesamecross.ops import estimates
 from sesamecross.ops import routing
@@ -70,7 +70,7 @@
         self._engines = engines
         self._recorder = recorder
         self._caller_idle_s = caller_idle_s
-        self._check = answer_check.AnswerCheck(call.call_id)
+        self._check = answer_validator.AnswerValidator(call.call_id)
         self._began_s = time.monotonic()
         self._dispatch: dispatch.Dispatch | None = None
         self._stream: engine_stream.EngineStream | None = None
@@ -89,7 +89,7 @@
         """Monotonic seconds at the first token, if there was one."""
         return self._first_s
 
-    def first(self) -> list[answer_check.Chunk]:
+    def first(self) -> list[answer_validator.Chunk]:
         """Returns the first events of the answer.
 
         Raises:
@@ -134,7 +134,7 @@
                 case pump_lib.CallerLeft(reason=reason):
                     raise CallerLeft(reason)
                 case pump_lib.Interrupted(reason=reason):
-                    self._failed(dispatch.Broken(), reason)
+                    self._failed(dispatch.MayHaveRun(), reason)
 
     def close(self) -> None:
         """Gives back whatever the call still holds."""
@@ -165,8 +165,8 @@
             self._dispatch = action
             self.attempts = action.attempt
             self._note_route(action)
-            if action.pause_ms:
-                time.sleep(action.pause_ms / 1000)
+            if action.backoff_ms:
+                time.sleep(action.backoff_ms / 1000)
             stream = self._open(action)
             if stream is not None:
                 return stream
@@ -191,7 +191,7 @@
             case http_client.NotSent(reason=reason):
                 self._failed(dispatch.NotRun(), reason)
             case http_client.Failed(reason=reason):
-                self._failed(dispatch.Broken(), reason)
+                self._failed(dispatch.MayHaveRun(), reason)
             case engine_stream.Rejected() as rejected:
                 self._rejected(rejected)
         return None
@@ -201,7 +201,7 @@
     ) -> engine_stream.CallRequest:
         generated = ""
         resume_after = self.tokens
-        if self._check.renumbered and self.tokens:
+        if self._check.ignores_event_ids and self.tokens:
             generated = self._check.text
             resume_after = 0
         left_s = self._call.deadline_ms / 1000 - time.monotonic()
@@ -217,24 +217,27 @@
 
     def _first_of(
         self, stream: engine_stream.EngineStream
-    ) -> list[answer_check.Chunk]:
+    ) -> list[answer_validator.Chunk]:
         """Waits for the attempt's first events; none if it failed."""
         try:
             while not stream.ended:
                 left_s = self._call.deadline_ms / 1000 - time.monotonic()
                 events = stream.read(max(0.05, min(STALL_S, left_s)))
-                taken = [self._check.take(event) for event in events]
+                taken = [self._check.process_event(event) for event in events]
                 chunks = [chunk for chunk in taken if chunk is not None]
                 if chunks:
                     if self.tokens:
                         self._first_s = self._last_s = time.monotonic()
                     return chunks
             reason = "the answer ended early"
-        except (engine_stream.StreamBroken, answer_check.Wrong) as error:
+        except (
+            engine_stream.StreamBroken,
+            answer_validator.InvalidEventError,
+        ) as error:
             reason = str(error)
         stream.close()
         self._stream = None
-        self._failed(dispatch.Broken(), reason)
+        self._failed(dispatch.MayHaveRun(), reason)
         return []
 
     def _rejected(self, rejected: engine_stream.Rejected) -> None:
@@ -245,10 +248,10 @@
         elif rejected.status == 400 and self.tokens:
             # This engine can't resume: the next attempt repeats the prompt
             # with the text that the caller has.
-            self._check.renumbered = True
-            self._failed(dispatch.Broken(), "can't resume")
+            self._check.ignores_event_ids = True
+            self._failed(dispatch.MayHaveRun(), "can't resume")
         elif rejected.status == 429 or rejected.status >= 500:
-            self._failed(dispatch.Broken(), f"HTTP {rejected.status}")
+            self._failed(dispatch.MayHaveRun(), f"HTTP {rejected.status}")
         else:
             self._end_with(False, "ended by the engine's error")
             raise EngineError(rejected)
--- a/sesamecross/entry/model_desk.py
+++ b/sesamecross/entry/model_desk.py
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        place: routing.Place,
+        place: routing.EntryLocation,
         policy: routing.Policy,
         clock: clock_lib.Clock,
         rng: random.Random,
@@ -70,7 +70,7 @@
 
     def _drain(self, draining: frozenset[str]) -> None:
         for name in self._dispatcher.upstreams:
-            self._dispatcher.drain(name, name in draining)
+            self._dispatcher.set_draining(name, name in draining)
 
     def reports(
         self, reports: tuple[data.UpstreamReport, ...], draining: frozenset[str]
--- a/sesamecross/entry/model_request.py
+++ b/sesamecross/entry/model_request.py
@@ -47,7 +47,7 @@
 
     def blocks(self) -> tuple[int, ...]:
         """Returns the names of the prompt's leading blocks."""
-        return prefixes.block_names(self.target, self.prompt)
+        return prefixes.block_hashes(self.target, self.prompt)
 
     def prompt_tokens(self) -> int:
         """Returns a guess of the prompt's tokens."""
--- a/sesamecross/entry/pump.py
+++ b/sesamecross/entry/pump.py
@@ -17,7 +17,7 @@
 import time
 
 from sesamecross.entry import sinks
-from sesamecross.ops import answer_check
+from sesamecross.ops import answer_validator
 from sesamecross.ports import engine_stream
 from sesamecross.runtime import logs
 
@@ -69,7 +69,7 @@
     def __init__(
         self,
         stream: engine_stream.EngineStream,
-        check: answer_check.AnswerCheck,
+        check: answer_validator.AnswerValidator,
         sink: sinks.Sink,
         stall_s: float,
         caller_idle_s: float,
@@ -97,7 +97,7 @@
             before = self.check.tokens
             chunks = []
             for event in events:
-                chunk = self.check.take(event)
+                chunk = self.check.process_event(event)
                 if chunk is not None:
                     chunks.append(chunk)
             if self.check.tokens > before:
@@ -105,7 +105,10 @@
                 self.last_token_s = now_s
             if chunks:
                 self.sink.accept(chunks)
-        except (engine_stream.StreamBroken, answer_check.Wrong) as error:
+        except (
+            engine_stream.StreamBroken,
+            answer_validator.InvalidEventError,
+        ) as error:
             self.ending = Interrupted(str(error))
         except sinks.CallerGone as error:
             self.ending = CallerLeft(str(error))
--- a/sesamecross/entry/service_call.py
+++ b/sesamecross/entry/service_call.py
@@ -110,7 +110,7 @@
             if not self._may_retry(request, attempt):
                 return outcome
             self._note_retry(request, attempt, failed_at)
-            time.sleep(retry.pause_ms(attempt, self._rng) / 1000)
+            time.sleep(retry.backoff_ms(attempt, self._rng) / 1000)
 
     def _may_retry(self, request: ServiceRequest, attempt: int) -> bool:
         if attempt >= MAX_ATTEMPTS:
@@ -147,7 +147,7 @@
                 self._clock.monotonic_ms(),
             )
             if upstream is not None:
-                self._router.began(upstream.name)
+                self._router.call_started(upstream.name)
         if upstream is None:
             return refusal.no_upstream(request.service.name), ""
         answer = self._services.call(
@@ -155,7 +155,9 @@
         )
         ok = isinstance(answer, data.Answer)
         with self._lock:
-            self._router.ended(upstream.name, ok, self._clock.monotonic_ms())
+            self._router.call_ended(
+                upstream.name, ok, self._clock.monotonic_ms()
+            )
         return self._outcome(request, answer), "" if ok else upstream.name
 
     def _service_call(
--- a/sesamecross/entry/sinks.py
+++ b/sesamecross/entry/sinks.py
@@ -3,7 +3,7 @@
 import socket
 
 from sesamecross.entry import answers
-from sesamecross.ops import answer_check
+from sesamecross.ops import answer_validator
 
 # A caller that is this far behind makes the relay stop reading its engine;
 # others are not touched.
@@ -42,7 +42,7 @@
         """Whether the caller is too far behind to take more."""
         return len(self._pending) >= MOST_PENDING_BYTES
 
-    def accept(self, chunks: list[answer_check.Chunk]) -> None:
+    def accept(self, chunks: list[answer_validator.Chunk]) -> None:
         """Takes events and sends what the caller will take.
 
         Raises:
@@ -101,9 +101,9 @@
     is_full = False
 
     def __init__(self) -> None:
-        self.chunks: list[answer_check.Chunk] = []
+        self.chunks: list[answer_validator.Chunk] = []
 
-    def accept(self, chunks: list[answer_check.Chunk]) -> None:
+    def accept(self, chunks: list[answer_validator.Chunk]) -> None:
         """Keeps the events."""
         self.chunks.extend(chunks)
 
--- a/sesamecross/operators/log_state.py
+++ b/sesamecross/operators/log_state.py
@@ -59,7 +59,7 @@
             self._replica.feed(page.start, page.payloads)
             if page.start + len(page.payloads) < page.next_offset:
                 continue
-            if self._replica.progress is catchup.Progress.FOLLOWING:
+            if self._replica.progress is catchup.CatchupState.FOLLOWING:
                 return Success(None)
             return Failure(
                 errors.Problem(
--- a/sesamecross/ops/answer_check.py
+++ b/sesamecross/ops/answer_validator.py
@@ -51,22 +51,22 @@
     text: str
     finish_reason: str | None
     usage: dict[str, Any] | None
-    only_usage: bool
+    is_usage_only: bool
     created: int
 
 
-class Wrong(Exception):
+class InvalidEventError(Exception):
     """The attempt's events can't be trusted any further."""
 
 
-class AnswerCheck:
+class AnswerValidator:
     """The state of one call's answer over all its attempts."""
 
     __slots__ = (
         "_call_id",
         "_text",
         "tokens",
-        "renumbered",
+        "ignores_event_ids",
         "done",
         "cached_tokens",
     )
@@ -77,7 +77,7 @@
         self.tokens = 0
         # Set where the engine was given the text so far as a prompt: its
         # own numbers begin anew then.
-        self.renumbered = False
+        self.ignores_event_ids = False
         self.done = False
         self.cached_tokens: int | None = None
 
@@ -86,7 +86,7 @@
         """What was generated so far."""
         return "".join(self._text)
 
-    def take(self, event: sse.Event) -> Chunk | None:
+    def process_event(self, event: sse.Event) -> Chunk | None:
         """Returns the event if it continues the answer.
 
         Returns:
@@ -102,9 +102,9 @@
         try:
             document = _decoder.decode(event.data)
         except msgspec.MsgspecError as error:
-            raise Wrong("event is not understood") from error
+            raise InvalidEventError("event is not understood") from error
         if document.id != self._call_id:
-            raise Wrong("event of another call")
+            raise InvalidEventError("event of another call")
         chunk = _chunk(event.data, document)
         if document.usage is not None:
             self.cached_tokens = _cached_tokens(document.usage)
@@ -114,13 +114,13 @@
         if number <= self.tokens:
             return None
         if number != self.tokens + 1:
-            raise Wrong("a token is missing")
+            raise InvalidEventError("a token is missing")
         self.tokens = number
         self._text.append(chunk.text)
         return chunk
 
     def _number(self, event: sse.Event) -> int:
-        if self.renumbered or not event.event_id.isdigit():
+        if self.ignores_event_ids or not event.event_id.isdigit():
             return self.tokens + 1
         return int(event.event_id)
 
@@ -142,12 +142,12 @@
         text = choice.text or ""
         if choice.delta is not None:
             text = choice.delta.content or ""
-    only_usage = not document.choices and document.usage is not None
+    is_usage_only = not document.choices and document.usage is not None
     return Chunk(
         data,
         text,
         finish_reason,
         document.usage,
-        only_usage,
+        is_usage_only,
         document.created,
     )
--- a/sesamecross/ops/small_machines_test.py
+++ b/sesamecross/ops/call_estimates_test.py
@@ -14,19 +14,19 @@
 @pytest.mark.parametrize(("base", "slope"), [(8.0, 0.3), (40.0, 2.0)])
 def test_a_line_is_learnt_from_observations(base, slope):
     rng = random.Random(1)
-    line = estimates.Line(15.0, 0.5, 8.0)
+    line = estimates.LinearFit(15.0, 0.5, 8.0)
     for _ in range(400):
         x = rng.uniform(1, 30)
         line.observe(x, base + slope * x + rng.uniform(-0.5, 0.5))
-    assert line.at(20) == pytest.approx(base + slope * 20, rel=0.1)
+    assert line.predict(20) == pytest.approx(base + slope * 20, rel=0.1)
 
 
 def test_a_line_stays_sane_when_all_observations_have_one_x():
-    line = estimates.Line(15.0, 0.5, 8.0)
+    line = estimates.LinearFit(15.0, 0.5, 8.0)
     for _ in range(100):
         line.observe(5.0, 30.0)
-    assert line.at(5.0) == pytest.approx(30.0, rel=0.05)
-    assert line.at(50.0) >= line.at(5.0)
+    assert line.predict(5.0) == pytest.approx(30.0, rel=0.05)
+    assert line.predict(50.0) >= line.predict(5.0)
 
 
 def test_the_most_calls_follow_from_the_line():
@@ -48,11 +48,11 @@
     prompts = [f"{n:04d}" * 256 for n in range(50)]
     for _ in range(40):
         for prompt in prompts:
-            names = prefixes.block_names("m", prompt)
+            names = prefixes.block_hashes("m", prompt)
             expected = history.cached_tokens(names)
             history.routed(names)
             history.observed(expected, 0)
-    names = prefixes.block_names("m", prompts[0])
+    names = prefixes.block_hashes("m", prompts[0])
     assert history.cached_tokens(names) == 0
 
 
@@ -75,18 +75,18 @@
 def test_prefixes_are_known_only_where_the_whole_prefix_is_shared():
     history = prefixes.PrefixHistory()
     shared = "s" * 600
-    history.routed(prefixes.block_names("m", shared + "a" * 400))
-    other = prefixes.block_names("m", shared + "b" * 400)
+    history.routed(prefixes.block_hashes("m", shared + "a" * 400))
+    other = prefixes.block_hashes("m", shared + "b" * 400)
     assert history.cached_tokens(other) == 2 * 256 // 4
-    assert history.cached_tokens(prefixes.block_names("m", "x" * 600)) == 0
-    assert history.cached_tokens(prefixes.block_names("n", shared)) == 0
+    assert history.cached_tokens(prefixes.block_hashes("m", "x" * 600)) == 0
+    assert history.cached_tokens(prefixes.block_hashes("n", shared)) == 0
 
 
 def test_the_oldest_prefixes_are_forgotten():
     history = prefixes.PrefixHistory(limit=4)
-    first = prefixes.block_names("m", "a" * 512)
+    first = prefixes.block_hashes("m", "a" * 512)
     history.routed(first)
-    history.routed(prefixes.block_names("m", "b" * 1024))
+    history.routed(prefixes.block_hashes("m", "b" * 1024))
     assert history.cached_tokens(first) == 0
 
 
--- a/sesamecross/ops/catchup.py
+++ b/sesamecross/ops/catchup.py
@@ -14,14 +14,14 @@
 from sesamecross.ops import replay
 
 
-class Progress(enum.Enum):
+class CatchupState(enum.Enum):
     """Where a replica stands."""
 
     FOLLOWING = "following"
     SEEKING_SNAPSHOT = "seeking-snapshot"
 
 
-Listener = Callable[[list[replay.Event]], None]
+Listener = Callable[[list[replay.AppliedRecord]], None]
 
 
 class Replica:
@@ -34,7 +34,7 @@
     __slots__ = (
         "state",
         "progress",
-        "last_snapshot",
+        "last_snapshot_offset",
         "_buffer",
         "_read_offset",
         "_listener",
@@ -42,8 +42,8 @@
 
     def __init__(self, listener: Listener):
         self.state = replay.SharedState()
-        self.progress = Progress.FOLLOWING
-        self.last_snapshot = -1
+        self.progress = CatchupState.FOLLOWING
+        self.last_snapshot_offset = -1
         self._buffer: list[tuple[int, bytes]] = []
         self._read_offset = 0
         self._listener = listener
@@ -51,20 +51,20 @@
     @property
     def read_offset(self) -> int:
         """The offset to read from next."""
-        if self.progress is Progress.SEEKING_SNAPSHOT:
+        if self.progress is CatchupState.SEEKING_SNAPSHOT:
             return self._read_offset
         return self.state.next_offset
 
     def feed(self, start: int, payloads: tuple[bytes, ...]) -> None:
         """Takes in records that stand on the log from `start` on."""
         if start > self.read_offset:
-            self.progress = Progress.SEEKING_SNAPSHOT
+            self.progress = CatchupState.SEEKING_SNAPSHOT
             self._buffer.clear()
         for offset, payload in enumerate(payloads, start):
             self._feed_one(offset, payload)
         self._read_offset = start + len(payloads)
 
-    def adopt(self, snapshot: records.StateSnapshot) -> bool:
+    def install_snapshot(self, snapshot: records.StateSnapshot) -> bool:
         """Takes a snapshot's state if it is newer than the own one.
 
         The state never goes back: an older offer changes nothing.
@@ -77,7 +77,7 @@
         self.state = restored
         buffered = self._buffer
         self._buffer = []
-        if self.progress is Progress.SEEKING_SNAPSHOT:
+        if self.progress is CatchupState.SEEKING_SNAPSHOT:
             self._after_gap(buffered)
         return True
 
@@ -86,20 +86,22 @@
         if buffered and buffered[0][0] > self.state.next_offset:
             self._buffer = buffered
             return
-        self.progress = Progress.FOLLOWING
+        self.progress = CatchupState.FOLLOWING
         for offset, payload in buffered:
             self._apply(offset, payload)
 
     def _feed_one(self, offset: int, payload: bytes) -> None:
         snapshot = snapshot_in(payload)
         if snapshot is not None:
-            self.last_snapshot = max(self.last_snapshot, snapshot.upto)
-        if self.progress is Progress.FOLLOWING:
+            self.last_snapshot_offset = max(
+                self.last_snapshot_offset, snapshot.upto
+            )
+        if self.progress is CatchupState.FOLLOWING:
             self._apply(offset, payload)
             return
         self._buffer.append((offset, payload))
         if snapshot is not None:
-            self.adopt(snapshot)
+            self.install_snapshot(snapshot)
 
     def _apply(self, offset: int, payload: bytes) -> None:
         events = self.state.apply(offset, payload)
--- a/sesamecross/ops/catchup_test.py
+++ b/sesamecross/ops/catchup_test.py
@@ -81,7 +81,7 @@
             break
         size = rng.randrange(1, 20)
         replica.feed(start, tuple(payloads[start : start + size]))
-    if replica.progress is catchup.Progress.FOLLOWING:
+    if replica.progress is catchup.CatchupState.FOLLOWING:
         assert replica.state.dump() == naive.dump()
     else:
         assert first > 0
@@ -95,7 +95,7 @@
         older.apply(offset, payload)
     replica = catchup.Replica(lambda events: None)
     replica.feed(0, tuple(payloads))
-    assert not replica.adopt(replay.snapshot(older))
+    assert not replica.install_snapshot(replay.snapshot(older))
     assert replica.state.dump() == naive.dump()
 
 
@@ -112,8 +112,8 @@
             peer.apply(offset, payload)
     replica = catchup.Replica(lambda events: None)
     replica.feed(40, tuple(plain[40:]))
-    assert replica.progress is catchup.Progress.SEEKING_SNAPSHOT
-    assert replica.adopt(replay.snapshot(peer))
+    assert replica.progress is catchup.CatchupState.SEEKING_SNAPSHOT
+    assert replica.install_snapshot(replay.snapshot(peer))
     assert replica.state.dump() == whole.dump()
 
 
@@ -125,8 +125,8 @@
     broken[place] ^= 0xFF
     replica = catchup.Replica(lambda events: None)
     bad = records.StateSnapshot(snapshot.upto, snapshot.digest, bytes(broken))
-    assert not replica.adopt(bad)
+    assert not replica.install_snapshot(bad)
     lying = records.StateSnapshot(
         snapshot.upto + 5, snapshot.digest, snapshot.data
     )
-    assert not replica.adopt(lying)
+    assert not replica.install_snapshot(lying)
--- a/sesamecross/ops/claim_group.py
+++ b/sesamecross/ops/claim_group.py
@@ -186,7 +186,7 @@
         return len(self._local)
 
     @property
-    def kept_in_dark(self) -> int:
+    def isolated_claim_count(self) -> int:
         """Claims kept in the dark that are still not on the log.
 
         While this is not 0, dying in contact proves nothing.
@@ -197,7 +197,7 @@
         """Tells whether log and witnesses have been away for long."""
         return not self._log_ok and now_ms - self._touch_ms >= DARK_MS
 
-    def rebind(
+    def replace_state(
         self, group_state: groups.GroupState, table: claims.ClaimTable
     ) -> None:
         """Takes in a replayed state that was adopted from elsewhere."""
@@ -206,19 +206,19 @@
 
     # -- inputs: the world ---------------------------------------------------
 
-    def log_reachable(self, reachable: bool, now_ms: int) -> None:
+    def set_log_reachable(self, reachable: bool, now_ms: int) -> None:
         """The log answers, or does not."""
         self._log_ok = reachable
         if reachable:
             self._touch_ms = now_ms
 
-    def heard_from(self, peer: data.Incarnation, now_ms: int) -> None:
+    def on_peer_heartbeat(self, peer: data.Incarnation, now_ms: int) -> None:
         """A heartbeat came from a peer."""
         config = self.config
         if config is not None and peer in config.witnesses:
             self._touch_ms = now_ms
 
-    def proved_dead(
+    def on_peer_death(
         self, peer: data.Incarnation, in_contact: bool, now_ms: int
     ) -> list[Action]:
         """A peer is dead.
@@ -234,7 +234,7 @@
             self._in_contact.add(peer)
         return self._progress(now_ms)
 
-    def replayed(self, next_offset: int, now_ms: int) -> list[Action]:
+    def on_replayed(self, next_offset: int, now_ms: int) -> list[Action]:
         """The log was replayed up to an offset."""
         self._next_offset = max(self._next_offset, next_offset)
         self._drop_logged()
--- a/sesamecross/ops/claim_group_test.py
+++ b/sesamecross/ops/claim_group_test.py
@@ -75,7 +75,7 @@
     def step(self):
         now = self.net.now
         reaches_log = self.net.reaches_log(self)
-        self.group.log_reachable(reaches_log, now)
+        self.group.set_log_reachable(reaches_log, now)
         if reaches_log:
             self.net.append(self.queue)
             self.queue = []
@@ -99,7 +99,7 @@
                         )
                     case records.ClaimSettled():
                         self.group.on_settled_record(event.record)
-        self.act(self.group.replayed(self.state.next_offset, self.net.now))
+        self.act(self.group.on_replayed(self.state.next_offset, self.net.now))
 
     def watch_peers(self):
         for peer, node in list(self.net.known.items()):
@@ -108,13 +108,13 @@
             if self.net.linked(self, node) and node in self.net.alive:
                 if node.runs():
                     self.beats[peer] = self.net.now
-                    self.group.heard_from(peer, self.net.now)
+                    self.group.on_peer_heartbeat(peer, self.net.now)
             elif self.net.proves_dead(self, node):
                 last = self.beats.get(peer, -10_000)
                 soon = self.net.now - last < claim_group.IN_CONTACT_MS
-                clean = node.group.kept_in_dark == 0
+                clean = node.group.isolated_claim_count == 0
                 self.act(
-                    self.group.proved_dead(peer, soon and clean, self.net.now)
+                    self.group.on_peer_death(peer, soon and clean, self.net.now)
                 )
 
     def propose(self):
@@ -129,8 +129,8 @@
             ):
                 alive[peer.instance] = node.member
         group = self.state.groups.zones.get(ZONE)
-        around = group_planner.Surroundings(alive, frozenset(dead), frozenset())
-        change = group_planner.proposal(ZONE, self.member, group, around)
+        around = group_planner.ClusterView(alive, frozenset(dead), frozenset())
+        change = group_planner.propose_group(ZONE, self.member, group, around)
         if change is not None:
             self.proposed_ms = net.now
             self.queue.append(change)
--- a/sesamecross/ops/dispatch.py
+++ b/sesamecross/ops/dispatch.py
@@ -29,7 +29,7 @@
     url: str
     attempt: int
     chosen: routing.Estimate
-    pause_ms: int = 0
+    backoff_ms: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Broken(FailureKind):
+class MayHaveRun(FailureKind):
     """The upstream failed after it may have begun."""
 
 
@@ -97,7 +97,10 @@
     )
 
     def __init__(
-        self, place: routing.Place, policy: routing.Policy, rng: random.Random
+        self,
+        place: routing.EntryLocation,
+        policy: routing.Policy,
+        rng: random.Random,
     ):
         self.upstreams: dict[str, routing.UpstreamState] = {}
         self.budget = retry.RetryBudget()
@@ -105,7 +108,7 @@
         self._place = place
         self._policy = policy
         # The baselines of experiments know no limits and no queue.
-        self._is_limited = isinstance(policy, routing.Estimated)
+        self._is_limited = isinstance(policy, routing.LowestEstimatedCost)
         self._rng = rng
         self._open: dict[str, _Open] = {}
         self._turn = 0
@@ -168,7 +171,7 @@
         state.own_at_report = state.own
         state.absent.clear()
 
-    def drain(self, upstream: str, draining: bool) -> None:
+    def set_draining(self, upstream: str, draining: bool) -> None:
         """Takes in an operator's drain mark."""
         state = self.upstreams.get(upstream)
         if state is not None:
@@ -350,7 +353,7 @@
             return []
         self._note_failure(one, failure, now_ms)
         one.excluded.add(one.upstream)
-        one.may_have_run |= isinstance(failure, Broken)
+        one.may_have_run |= isinstance(failure, MayHaveRun)
         one.upstream = ""
         one.state = None
         actions = [self._retry(one, failure, now_ms)]
@@ -395,8 +398,8 @@
         action = self._dispatch(one, with_room or servers, now_ms)
         if free:
             return action
-        pause_ms = retry.pause_ms(one.attempts, self._rng)
-        return dataclasses.replace(action, pause_ms=pause_ms)
+        backoff_ms = retry.backoff_ms(one.attempts, self._rng)
+        return dataclasses.replace(action, backoff_ms=backoff_ms)
 
     def abandoned(self, call_id: str, now_ms: int) -> list[Action]:
         """The caller went away while its call waited."""
@@ -451,7 +454,7 @@
 def _with_room(
     call: routing.Call,
     servers: list[routing.UpstreamState],
-    place: routing.Place,
+    place: routing.EntryLocation,
     now_ms: int,
 ) -> list[routing.UpstreamState]:
     """Returns where a call may go now.
--- a/sesamecross/ops/dispatch_test.py
+++ b/sesamecross/ops/dispatch_test.py
@@ -12,7 +12,7 @@
 
 PROMISE = data.Promise("report", 320, 55, 2, 2000)
 LAZY = data.Promise("digest", 5000, 200, 7, 60_000)
-PLACE = routing.Place("z1", "r1", {})
+PLACE = routing.EntryLocation("z1", "r1", {})
 SEEN = estimates.Observation(0, 0, 50.0, 10.0, 200.0)
 
 
@@ -50,7 +50,7 @@
 
 def desk(names=("e1", "e2"), concurrency=4, policy=None):
     one = dispatch.Dispatcher(
-        PLACE, policy or routing.Estimated(), random.Random(1)
+        PLACE, policy or routing.LowestEstimatedCost(), random.Random(1)
     )
     one.configure(declared(names, concurrency), 1)
     for name in names:
@@ -163,7 +163,7 @@
 FAILURES = [
     (dispatch.NotRun(), False),
     (dispatch.NotRun(leaving=True), True),
-    (dispatch.Broken(), False),
+    (dispatch.MayHaveRun(), False),
 ]
 
 
@@ -190,7 +190,7 @@
         (action,) = one.submit(call(number), 0)
         if not isinstance(action, dispatch.Dispatch):
             continue
-        (after,) = one.failed(f"call{number}", dispatch.Broken(), 0)
+        (after,) = one.failed(f"call{number}", dispatch.MayHaveRun(), 0)
         retried += isinstance(after, dispatch.Dispatch)
     assert retried <= 5
 
@@ -230,7 +230,7 @@
     chosen = set()
     for seed in range(8):
         one = dispatch.Dispatcher(
-            PLACE, routing.Estimated(), random.Random(seed)
+            PLACE, routing.LowestEstimatedCost(), random.Random(seed)
         )
         one.configure(declared(("e1", "e2", "e3")), 8)
         for name in ("e1", "e2", "e3"):
@@ -301,7 +301,7 @@
     """
     one = desk(["e1", "e2"], 4)
     one.submit(call(1), 0)
-    (again,) = one.failed("call1", dispatch.Broken(), 0)
+    (again,) = one.failed("call1", dispatch.MayHaveRun(), 0)
     assert isinstance(again, dispatch.Dispatch)
     for name in ("e1", "e2"):
         one.report(report(name, leaving=True, sequence=2), 0)
--- a/sesamecross/ops/estimates.py
+++ b/sesamecross/ops/estimates.py
@@ -15,7 +15,7 @@
 PRIOR_WEIGHT = 4.0
 
 
-class Line:
+class LinearFit:
     """A line y = base + slope * x, fitted by weighted least squares."""
 
     __slots__ = ("_n", "_x", "_y", "_xx", "_xy", "_base", "_slope")
@@ -63,7 +63,7 @@
             return math.inf if self._base <= y else 0.0
         return max(0.0, (y - self._base) / self._slope)
 
-    def at(self, x: float) -> float:
+    def predict(self, x: float) -> float:
         """Returns the line's value at `x`."""
         return self._base + self._slope * x
 
@@ -106,10 +106,10 @@
     __slots__ = ("_between", "_first", "_call_ms")
 
     def __init__(self) -> None:
-        self._between = Line(
+        self._between = LinearFit(
             START_BETWEEN_MS, START_BETWEEN_PER_CALL_MS, _TYPICAL_CALLS
         )
-        self._first = Line(
+        self._first = LinearFit(
             START_FIRST_MS, START_PREFILL_MS_PER_TOKEN, _TYPICAL_PROMPT
         )
         self._call_ms = START_CALL_MS
@@ -129,7 +129,7 @@
 
     def first_ms(self, uncached_tokens: float) -> float:
         """Estimates the time to the first token without waiting."""
-        return self._first.at(uncached_tokens)
+        return self._first.predict(uncached_tokens)
 
     def prompt_ms(self, uncached_tokens: float) -> float:
         """Estimates the work that uncached prompt tokens are."""
@@ -141,4 +141,4 @@
 
     def between_ms(self, in_batch: float) -> float:
         """Estimates the time between tokens with so many calls."""
-        return self._between.at(in_batch)
+        return self._between.predict(in_batch)
--- a/sesamecross/ops/fleet/engine_choice.py
+++ b/sesamecross/ops/fleet/engine_choice.py
@@ -66,7 +66,7 @@
     fresh = max(1, call.prompt_tokens - kept)
     ahead = engine.own_prompt_tokens + engine.others_prompt_tokens
     speed = engine.speed(call.model)
-    first_ms = speed.at(ahead + fresh)
+    first_ms = speed.predict(ahead + fresh)
     slots = max(1, known.entry.slots)
     waiting = max(0.0, known.running + 1 - slots)
     lacks = bool(call.adapter) and not engine.holds(
--- a/sesamecross/ops/fleet/engine_state.py
+++ b/sesamecross/ops/fleet/engine_state.py
@@ -38,7 +38,9 @@
     absent: dict[str, float] = dataclasses.field(default_factory=dict)
     own_prompt_tokens: int = 0
     others_prompt_tokens: int = 0
-    speeds: dict[str, estimates.Line] = dataclasses.field(default_factory=dict)
+    speeds: dict[str, estimates.LinearFit] = dataclasses.field(
+        default_factory=dict
+    )
     cache: prefix_cache.PrefixCache = dataclasses.field(
         default_factory=prefix_cache.PrefixCache
     )
@@ -88,11 +90,11 @@
                 return self.place_s + eta_s
         return None
 
-    def speed(self, model: str) -> estimates.Line:
+    def speed(self, model: str) -> estimates.LinearFit:
         """Returns the line from prompt tokens to the first event, in ms."""
         line = self.speeds.get(model)
         if line is None:
-            line = estimates.Line(
+            line = estimates.LinearFit(
                 START_FIRST_MS, START_PROMPT_MS, _TYPICAL_TOKENS
             )
             self.speeds[model] = line
--- a/sesamecross/ops/gossip.py
+++ b/sesamecross/ops/gossip.py
@@ -49,7 +49,7 @@
     items: tuple[Item, ...]
 
 
-class Link:
+class PeerVersions:
     """What one stream's other side is known to have."""
 
     __slots__ = ("peer", "zone", "_known")
@@ -59,7 +59,7 @@
         self.zone = zone
         self._known: dict[str, hlc.Stamp] = {}
 
-    def note(self, item: Item) -> None:
+    def mark_known(self, item: Item) -> None:
         """The other side has this item."""
         known = self._known.get(item.key)
         if known is None or known < item.version:
@@ -71,7 +71,7 @@
         return known is None or known < item.version
 
 
-class Store:
+class ItemStore:
     """The newest version of each item that this steward knows."""
 
     __slots__ = ("_zone", "_items", "_changed")
@@ -83,7 +83,7 @@
         self._changed = 0
 
     @property
-    def changes(self) -> int:
+    def change_count(self) -> int:
         """Counts the items taken in; grows with each."""
         return self._changed
 
@@ -110,7 +110,7 @@
             if key.startswith(prefix):
                 yield item
 
-    def news_for(self, link: Link, limit: int) -> list[Item]:
+    def delta_for(self, link: PeerVersions, limit: int) -> list[Item]:
         """Returns items that the link lacks, newest first, and marks them.
 
         Args:
@@ -123,7 +123,7 @@
             if crosses and not item.everywhere:
                 continue
             if link.lacks(item):
-                link.note(item)
+                link.mark_known(item)
                 news.append(item)
                 if len(news) >= limit:
                     break
--- a/sesamecross/ops/gossip_test.py
+++ b/sesamecross/ops/gossip_test.py
@@ -15,36 +15,36 @@
     ("first", "second", "kept"), [(1, 2, 2), (2, 1, 2), (1, 1, 1)]
 )
 def test_the_newer_version_is_kept(first, second, kept):
-    store = gossip.Store("z")
+    store = gossip.ItemStore("z")
     store.put(item("k", first, first))
     store.put(item("k", second, second))
     assert store.get("k") == kept
 
 
 def test_an_item_is_sent_once_to_each_link():
-    store = gossip.Store("z")
-    link = gossip.Link("b", "z")
+    store = gossip.ItemStore("z")
+    link = gossip.PeerVersions("b", "z")
     store.put(item("k", 1, 1))
-    assert [i.key for i in store.news_for(link, 10)] == ["k"]
-    assert store.news_for(link, 10) == []
+    assert [i.key for i in store.delta_for(link, 10)] == ["k"]
+    assert store.delta_for(link, 10) == []
     store.put(item("k", 2, 2))
-    assert [i.value for i in store.news_for(link, 10)] == [2]
+    assert [i.value for i in store.delta_for(link, 10)] == [2]
 
 
 def test_what_stays_in_a_zone_does_not_cross():
-    store = gossip.Store("z")
+    store = gossip.ItemStore("z")
     store.put(item("in", 1, 1, everywhere=False))
     store.put(item("out", 1, 1))
-    crossing = gossip.Link("b", "other")
-    assert [i.key for i in store.news_for(crossing, 10)] == ["out"]
+    crossing = gossip.PeerVersions("b", "other")
+    assert [i.key for i in store.delta_for(crossing, 10)] == ["out"]
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_all_stores_agree_after_random_exchanges(seed):
     rng = random.Random(seed)
-    stores = [gossip.Store("z") for _ in range(6)]
+    stores = [gossip.ItemStore("z") for _ in range(6)]
     links = {
-        (a, b): gossip.Link(str(b), "z")
+        (a, b): gossip.PeerVersions(str(b), "z")
         for a in range(6)
         for b in ((a + 1) % 6, (a + 2) % 6)
     }
@@ -53,11 +53,11 @@
         key = f"k{rng.randrange(10)}"
         stores[where].put(item(key, step, step))
         a, b = rng.choice(list(links))
-        for one in stores[a].news_for(links[a, b], 3):
+        for one in stores[a].delta_for(links[a, b], 3):
             stores[b].put(one)
     for _ in range(12):
         for (a, b), link in links.items():
-            for one in stores[a].news_for(link, 100):
+            for one in stores[a].delta_for(link, 100):
                 stores[b].put(one)
     views = [
         {i.key: i.value for i in store.with_prefix("k")} for store in stores
--- a/sesamecross/ops/group_planner.py
+++ b/sesamecross/ops/group_planner.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Surroundings:
+class ClusterView:
     """What a steward believes of the others.
 
     Attributes:
@@ -33,11 +33,11 @@
     leaving: frozenset[str]
 
 
-def proposal(
+def propose_group(
     zone: str,
     me: data.Member,
     group: groups.ZoneGroup | None,
-    around: Surroundings,
+    around: ClusterView,
 ) -> records.GroupChanged | None:
     """Returns the epoch that this steward should propose, or None.
 
@@ -75,7 +75,7 @@
     me: data.Member,
     current: groups.GroupConfig | None,
     alive: Mapping[str, data.Member],
-    around: Surroundings,
+    around: ClusterView,
 ) -> bool:
     """The zone's first live steward proposes; for a dead zone, another's.
 
@@ -97,7 +97,7 @@
 
 def _can_follow(
     current: groups.GroupConfig,
-    around: Surroundings,
+    around: ClusterView,
     alive: Mapping[str, data.Member],
 ) -> bool:
     """Tells whether all participants but one can be made to stop."""
--- a/sesamecross/ops/leases.py
+++ b/sesamecross/ops/leases.py
@@ -64,7 +64,7 @@
     return current is not None and current.offset == fence
 
 
-class LapseWatch:
+class LeaseExpiryDetector:
     """Decides when to challenge, from the own monotonic clock only.
 
     A wrong guess costs a change of holder and never safety. Each candidate
@@ -80,7 +80,7 @@
         self._seen: int | None = None
         self._since_ms = 0
 
-    def observed(self, now_ms: int) -> None:
+    def reset_timer(self, now_ms: int) -> None:
         """Notes that the holder renewed or changed just now."""
         self._since_ms = now_ms
 
--- a/sesamecross/ops/leases_test.py
+++ b/sesamecross/ops/leases_test.py
@@ -59,13 +59,13 @@
 
 @pytest.mark.parametrize(("silent_ms", "rank", "may"), CHALLENGES)
 def test_challengers_wait_for_the_lapse_and_their_rank(silent_ms, rank, may):
-    watch = leases.LapseWatch(8000, 500)
+    watch = leases.LeaseExpiryDetector(8000, 500)
     lease = leases.Lease("z", A, 5)
     watch.may_challenge(0, lease, rank)
-    watch.observed(1000)
+    watch.reset_timer(1000)
     assert watch.may_challenge(1000 + silent_ms, lease, rank) is may
 
 
 def test_a_free_lease_is_taken_without_waiting_for_a_lapse():
-    watch = leases.LapseWatch(8000, 500)
+    watch = leases.LeaseExpiryDetector(8000, 500)
     assert watch.may_challenge(100, None, 0)
--- a/sesamecross/ops/membership.py
+++ b/sesamecross/ops/membership.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Changed:
+class BeliefChanged:
     """A belief changed."""
 
     member: data.Member
@@ -83,7 +83,7 @@
         members[self._me.incarnation.instance] = self._me
         return members
 
-    def zone_alive(self) -> list[str]:
+    def alive_in_zone(self) -> list[str]:
         """Returns the own zone's believed-alive instances, sorted."""
         alive = self.believed_alive()
         return sorted(n for n, m in alive.items() if m.zone == self._me.zone)
@@ -93,7 +93,7 @@
         peer = self._peers.get(instance)
         return (peer.state, peer.heard_ms) if peer else None
 
-    def introduce(self, member: data.Member, now_ms: int) -> bool:
+    def add_member(self, member: data.Member, now_ms: int) -> bool:
         """Takes in a member named by the log, a peer or the platform.
 
         Returns:
@@ -116,11 +116,11 @@
             del self._peers[incarnation.instance]
             self._watchers = None
 
-    def heard(
+    def on_heartbeat(
         self, member: data.Member, leaving: bool, now_ms: int
-    ) -> list[Changed]:
+    ) -> list[BeliefChanged]:
         """Takes in a heartbeat that came straight from the member."""
-        self.introduce(member, now_ms)
+        self.add_member(member, now_ms)
         peer = self._peers.get(member.incarnation.instance)
         if peer is None:
             return []
@@ -129,10 +129,10 @@
         peer.heard_ms = now_ms
         if leaving and peer.state is not PeerState.LEAVING:
             peer.state = PeerState.LEAVING
-            return [Changed(peer.member, peer.state)]
+            return [BeliefChanged(peer.member, peer.state)]
         return []
 
-    def vote_heard(
+    def on_vote(
         self, watcher: str, incarnation: data.Incarnation, suspect: bool
     ) -> None:
         """Takes in another watcher's vote on one incarnation."""
@@ -140,9 +140,9 @@
         if peer is not None and peer.member.incarnation == incarnation:
             peer.votes[watcher] = suspect
 
-    def tick(self, now_ms: int) -> list[Changed | Vote]:
+    def tick(self, now_ms: int) -> list[BeliefChanged | Vote]:
         """Looks at the time that passed; returns what changed."""
-        actions: list[Changed | Vote] = []
+        actions: list[BeliefChanged | Vote] = []
         for name, watchers in self._who_watches().items():
             peer = self._peers[name]
             actions.extend(self._vote(peer, watchers, now_ms))
@@ -187,7 +187,7 @@
 
     def _believe(
         self, peer: _Peer, watchers: list[str], now_ms: int
-    ) -> list[Changed]:
+    ) -> list[BeliefChanged]:
         if peer.state is PeerState.LEAVING:
             return []
         # A watcher that is itself suspected has no voice: cut off, it would
@@ -204,4 +204,4 @@
         if state is peer.state:
             return []
         peer.state = state
-        return [Changed(peer.member, state)]
+        return [BeliefChanged(peer.member, state)]
--- a/sesamecross/ops/membership_test.py
+++ b/sesamecross/ops/membership_test.py
@@ -16,14 +16,14 @@
 def table(names, me="a"):
     one = membership.Membership(member(me), SUSPECT_MS)
     for name in names:
-        one.introduce(member(name), 0)
+        one.add_member(member(name), 0)
     return one
 
 
 def hear_all(one, names, now_ms, *, but=()):
     for name in names:
         if name not in but:
-            one.heard(member(name), False, now_ms)
+            one.on_heartbeat(member(name), False, now_ms)
 
 
 def state(one, name):
@@ -32,7 +32,7 @@
 
 def test_two_members_suspect_by_the_one_watcher():
     one = table(["b"])
-    one.heard(member("b"), False, 0)
+    one.on_heartbeat(member("b"), False, 0)
     assert one.tick(SUSPECT_MS) == []
     changes = one.tick(SUSPECT_MS + 1)
     assert membership.Vote(member("b"), True) in changes
@@ -51,7 +51,7 @@
         one.tick(now_ms)
     assert state(one, "d") is membership.PeerState.ALIVE
     other = [w for w in watchers if w != "a"][0]
-    one.vote_heard(other, member("d").incarnation, True)
+    one.on_vote(other, member("d").incarnation, True)
     one.tick(5000)
     assert state(one, "d") is membership.PeerState.SUSPECT
 
@@ -63,18 +63,18 @@
     changes = 0
     for now_ms in range(0, 60_000, 100):
         if (now_ms // 2000) % 2 == 0:
-            one.heard(member("b"), False, now_ms)
+            one.on_heartbeat(member("b"), False, now_ms)
         actions = one.tick(now_ms)
-        changes += sum(isinstance(a, membership.Changed) for a in actions)
+        changes += sum(isinstance(a, membership.BeliefChanged) for a in actions)
     assert changes <= 10
 
 
 def test_a_new_incarnation_replaces_the_old_one():
     # L4: an instance comes back with its old address as another process.
     one = table(["b"])
-    one.heard(member("b"), True, 0)
+    one.on_heartbeat(member("b"), True, 0)
     assert state(one, "b") is membership.PeerState.LEAVING
-    one.heard(member("b", started="2"), False, 10)
+    one.on_heartbeat(member("b", started="2"), False, 10)
     assert state(one, "b") is membership.PeerState.ALIVE
     one.remove(member("b").incarnation)
     assert one.state_of("b") is not None
@@ -84,8 +84,8 @@
 
 def test_a_vote_on_an_earlier_incarnation_does_not_count():
     one = table(["b"])
-    one.introduce(member("b", started="2"), 0)
-    one.vote_heard("a", member("b").incarnation, True)
+    one.add_member(member("b", started="2"), 0)
+    one.on_vote("a", member("b").incarnation, True)
     one.tick(1)
     assert state(one, "b") is membership.PeerState.ALIVE
 
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize("size", [1, 2, 3, 8, 50, 273])
 def test_the_overlay_is_connected_and_its_degree_bounded(size):
     members = {f"i{n}": member(f"i{n}") for n in range(size)}
-    links = {name: set(overlay.links_of(name, members)) for name in members}
+    links = {name: set(overlay.stream_peers(name, members)) for name in members}
     degree = {name: len(out) for name, out in links.items()}
     for out in links.values():
         for other in out:
@@ -120,7 +120,7 @@
     crossing = [
         (name, other)
         for name in members
-        for other in overlay.links_of(name, members)
+        for other in overlay.stream_peers(name, members)
         if members[name].zone != members[other].zone
     ]
     assert len(crossing) == 3 * overlay.DELEGATES**2
--- a/sesamecross/ops/overlay.py
+++ b/sesamecross/ops/overlay.py
@@ -31,7 +31,7 @@
     return rendezvous.top(f"delegate/{zone}", zone_members, DELEGATES)
 
 
-def links_of(
+def stream_peers(
     instance: str, members: Mapping[str, data.Member]
 ) -> dict[str, data.Member]:
     """Returns the peers to which `instance` opens streams.
--- a/sesamecross/ops/prefixes.py
+++ b/sesamecross/ops/prefixes.py
@@ -18,7 +18,7 @@
 GROW = 0.5
 
 
-def block_names(target: str, prompt: str) -> tuple[int, ...]:
+def block_hashes(target: str, prompt: str) -> tuple[int, ...]:
     """Returns a name for each whole leading block of a prompt.
 
     Each name covers all text before it too, so two prompts share a name
--- a/sesamecross/ops/replay.py
+++ b/sesamecross/ops/replay.py
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Event:
+class AppliedRecord:
     """What one record did at replay, for whoever waits for it.
 
     Attributes:
@@ -91,7 +91,7 @@
         self.groups = groups.GroupState()
         self._append_ids: dict[str, None] = {}
 
-    def apply(self, offset: int, payload: bytes) -> list[Event]:
+    def apply(self, offset: int, payload: bytes) -> list[AppliedRecord]:
         """Applies one log record; an offset seen before changes nothing.
 
         Args:
@@ -116,7 +116,7 @@
         for plain in envelope.entries:
             record = codec.from_plain(plain).value_or(None)
             result = self._apply_record(offset, record)
-            events.append(Event(offset, record, result, envelope.stamp))
+            events.append(AppliedRecord(offset, record, result, envelope.stamp))
         return events
 
     def _remember(self, append_id: str) -> None:
--- a/sesamecross/ops/retry.py
+++ b/sesamecross/ops/retry.py
@@ -40,7 +40,7 @@
         return True
 
 
-def pause_ms(attempt: int, rng: random.Random) -> int:
+def backoff_ms(attempt: int, rng: random.Random) -> int:
     """Returns the pause before retry number `attempt`, from 1, jittered."""
     longest = min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** (attempt - 1))
     return int(rng.uniform(0, longest))
--- a/sesamecross/ops/routing.py
+++ b/sesamecross/ops/routing.py
@@ -43,14 +43,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Estimated:
+class LowestEstimatedCost:
     """The product's policy: by estimated time and promise."""
 
 
-Policy = RoundRobin | LeastOutstanding | Estimated
+Policy = RoundRobin | LeastOutstanding | LowestEstimatedCost
 
 _POLICIES: dict[str, Policy] = {
-    "estimated": Estimated(),
+    "estimated": LowestEstimatedCost(),
     "least-outstanding": LeastOutstanding(),
     "round-robin": RoundRobin(),
 }
@@ -177,7 +177,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class EntryLocation:
     """Where the entry stands."""
 
     zone: str
@@ -188,7 +188,7 @@
 def estimate(
     call: Call,
     upstream: UpstreamState,
-    place: Place,
+    place: EntryLocation,
     now_ms: int,
     is_home: bool = False,
 ) -> Estimate:
@@ -252,7 +252,7 @@
     return rendezvous.top(f"prefix/{call.blocks[0]}", names, 1)[0]
 
 
-def _distance_ms(upstream: UpstreamState, place: Place) -> float:
+def _distance_ms(upstream: UpstreamState, place: EntryLocation) -> float:
     if upstream.region != place.region:
         return float(place.region_ms.get(upstream.region, 30))
     if upstream.declared.zone != place.zone:
@@ -264,7 +264,7 @@
     policy: Policy,
     call: Call,
     candidates: Iterable[UpstreamState],
-    place: Place,
+    place: EntryLocation,
     now_ms: int,
     turn: int,
     rng: random.Random,
@@ -300,7 +300,7 @@
         case LeastOutstanding():
             own = {u.declared.name: u.own for u in candidates}
             return min(found, key=lambda one: (own[one.upstream], one.upstream))
-        case Estimated():
+        case LowestEstimatedCost():
             keeping = [one for one in found if one.keeps_promise] or found
             bound = keeping[0].cost_ms * SPREAD + SPREAD_MS
             near = [one for one in keeping if one.cost_ms <= bound]
--- a/sesamecross/ops/service_routing.py
+++ b/sesamecross/ops/service_routing.py
@@ -72,11 +72,11 @@
     def _breaker(self, name: str) -> retry.Breaker:
         return self._breakers.setdefault(name, retry.Breaker())
 
-    def began(self, name: str) -> None:
+    def call_started(self, name: str) -> None:
         """Counts a call that is open at an upstream."""
         self._own[name] = self._own.get(name, 0) + 1
 
-    def ended(self, name: str, ok: bool, now_ms: int) -> None:
+    def call_ended(self, name: str, ok: bool, now_ms: int) -> None:
         """Counts the end of a call."""
         self._own[name] = self._own.get(name, 0) - 1
         if ok:
--- a/sesamecross/steward/app.py
+++ b/sesamecross/steward/app.py
@@ -76,7 +76,7 @@
         """Returns the parts in the order of their start."""
         settings = self._settings
         self._log = log_http.HttpLog(settings.log_url)
-        self._store = gossip.Store(settings.zone)
+        self._store = gossip.ItemStore(settings.zone)
         self._membership = membership_lib.Membership(
             self.me, settings.suspect_ms
         )
@@ -282,7 +282,7 @@
     def _on_demand(self, report: messages.DemandReport) -> None:
         self.demand.report(report.calls, report.interval_ms)
 
-    def _on_event(self, event: replay.Event) -> None:
+    def _on_event(self, event: replay.AppliedRecord) -> None:
         match event.record:
             case records.ConfigPublished(change_id=change_id, author=author):
                 verdict = event.result
--- a/sesamecross/steward/claim_keeper.py
+++ b/sesamecross/steward/claim_keeper.py
@@ -74,9 +74,11 @@
         return "claim-group"
 
     @property
-    def kept_in_dark(self) -> int:
+    def isolated_claim_count(self) -> int:
         """Claims kept out of touch and not on the log, over all groups."""
-        return sum(group.kept_in_dark for group in self._groups.values())
+        return sum(
+            group.isolated_claim_count for group in self._groups.values()
+        )
 
     async def run(self) -> None:
         """Lets time pass until cancelled."""
@@ -123,8 +125,8 @@
         self._follow_state(now_ms)
         reachable = self._reader.reachable and self._writer.reachable
         for group in self._groups.values():
-            group.log_reachable(reachable, now_ms)
-            self._act(group.replayed(self._hub.state.next_offset, now_ms))
+            group.set_log_reachable(reachable, now_ms)
+            self._act(group.on_replayed(self._hub.state.next_offset, now_ms))
             self._act(group.tick(now_ms))
         if reachable and now_ms - self._ready_ms >= SETTLING_MS:
             self._release_homes()
@@ -137,7 +139,7 @@
         if state is not self._state:
             self._state = state
             for group in self._groups.values():
-                group.rebind(state.groups, state.claims)
+                group.replace_state(state.groups, state.claims)
         for zone in state.groups.zones:
             if zone not in self._groups:
                 group = claim_group.ClaimGroup(
@@ -149,9 +151,9 @@
                 )
                 self._groups[zone] = group
                 for peer, in_contact in self._contacts.dead.items():
-                    self._act(group.proved_dead(peer, in_contact, now_ms))
+                    self._act(group.on_peer_death(peer, in_contact, now_ms))
 
-    def proved_dead(self, peer: data.Incarnation) -> None:
+    def on_peer_death(self, peer: data.Incarnation) -> None:
         """A peer's address refuses, or another incarnation answers there."""
         in_contact = self._contacts.prove_dead(peer, claim_group.IN_CONTACT_MS)
         if in_contact is None:
@@ -185,13 +187,13 @@
         )
         now_ms = self._clock.monotonic_ms()
         for group in self._groups.values():
-            self._act(group.proved_dead(peer, in_contact, now_ms))
+            self._act(group.on_peer_death(peer, in_contact, now_ms))
 
-    def heard_from(self, peer: data.Incarnation) -> None:
+    def on_peer_heartbeat(self, peer: data.Incarnation) -> None:
         """A heartbeat came from a peer."""
         now_ms = self._clock.monotonic_ms()
         for group in self._groups.values():
-            group.heard_from(peer, now_ms)
+            group.on_peer_heartbeat(peer, now_ms)
 
     # -- epochs ---
 
@@ -200,7 +202,7 @@
         around = self._surroundings()
         zones = {caller.home_zone for caller in self._callers().values()}
         for zone in sorted(zones | state.groups.zones.keys()):
-            change = group_planner.proposal(
+            change = group_planner.propose_group(
                 zone, self._me, state.groups.zones.get(zone), around
             )
             if change is None:
@@ -214,7 +216,7 @@
                 members=[m.instance for m in change.members],
             )
 
-    def _surroundings(self) -> group_planner.Surroundings:
+    def _surroundings(self) -> group_planner.ClusterView:
         alive = self._membership.believed_alive()
         leaving = {
             name
@@ -226,7 +228,7 @@
             leaving.add(self._me.incarnation.instance)
         # Named by the platform's list only; its incarnation is not known.
         known = {n: m for n, m in alive.items() if m.incarnation.started}
-        return group_planner.Surroundings(
+        return group_planner.ClusterView(
             known, frozenset(self._contacts.dead), frozenset(leaving)
         )
 
@@ -254,7 +256,7 @@
 
     # -- events and messages ---
 
-    def _on_event(self, event: replay.Event) -> None:
+    def _on_event(self, event: replay.AppliedRecord) -> None:
         now_ms = self._clock.monotonic_ms()
         match event.record:
             case records.ClaimMade(zone=zone) if zone in self._groups:
--- a/sesamecross/steward/contacts.py
+++ b/sesamecross/steward/contacts.py
@@ -35,7 +35,7 @@
         """Returns the last count heard from an instance."""
         return self._heard_count.get(instance, 0)
 
-    def heard(self, heartbeat: messages.Heartbeat) -> None:
+    def on_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
         """A heartbeat came; it tells which of ours had arrived before."""
         incarnation = heartbeat.member.incarnation
         self._heard_count[incarnation.instance] = heartbeat.count
--- a/sesamecross/steward/demand.py
+++ b/sesamecross/steward/demand.py
@@ -24,7 +24,7 @@
     def __init__(
         self,
         me: data.Member,
-        store: gossip.Store,
+        store: gossip.ItemStore,
         recorder: timeline.Recorder,
     ):
         self._me = me
--- a/sesamecross/steward/hub.py
+++ b/sesamecross/steward/hub.py
@@ -14,7 +14,7 @@
 from sesamecross.ops import replay
 from sesamecross.ops import timeline
 
-Listener = Callable[[replay.Event], None]
+Listener = Callable[[replay.AppliedRecord], None]
 
 
 def key_of(record: Any) -> str | None:
@@ -57,7 +57,7 @@
         if future in waiting:
             waiting.remove(future)
 
-    def _on_events(self, events: list[replay.Event]) -> None:
+    def _on_events(self, events: list[replay.AppliedRecord]) -> None:
         for event in events:
             # What this record causes here sorts behind its writing.
             self._recorder.receive(hlc.Stamp(*event.stamp))
--- a/sesamecross/steward/lease_keeper.py
+++ b/sesamecross/steward/lease_keeper.py
@@ -64,7 +64,9 @@
         self._clock = clock
         self._recorder = recorder
         self._renew_ms = settings.lease_renew_ms
-        self._watch = leases.LapseWatch(settings.lease_lapse_ms, STEP_MS)
+        self._watch = leases.LeaseExpiryDetector(
+            settings.lease_lapse_ms, STEP_MS
+        )
         self._renewed_ms = 0
         self._challenged_ms = -CHALLENGE_MS
         self._logger = logs.part("lease")
@@ -117,13 +119,13 @@
             return
         if not (self._reader.reachable and self._writer.reachable):
             # Nobody can renew while the log is away: no lapse is observed.
-            self._watch.observed(now_ms)
+            self._watch.reset_timer(now_ms)
             return
         self._challenge(now_ms)
 
     def _challenge(self, now_ms: int) -> None:
         current = self._hub.state.leases.leases.get(self._me.zone)
-        alive = self._membership.zone_alive()
+        alive = self._membership.alive_in_zone()
         rank = alive.index(self._me.incarnation.instance)
         if not self._watch.may_challenge(now_ms, current, rank):
             return
@@ -136,13 +138,13 @@
         )
         self._logger.info("lease is challenged", supersedes=supersedes)
 
-    def _on_event(self, event: replay.Event) -> None:
+    def _on_event(self, event: replay.AppliedRecord) -> None:
         now_ms = self._clock.monotonic_ms()
         match event.record:
             case records.LeaseRenewed(zone=zone) if (
                 zone == self._me.zone and event.result
             ):
-                self._watch.observed(now_ms)
+                self._watch.reset_timer(now_ms)
             case records.LeaseTaken(zone=zone) if event.result is not None:
                 lease: leases.Lease = event.result
                 holder = lease.holder.instance
--- a/sesamecross/steward/links.py
+++ b/sesamecross/steward/links.py
@@ -42,7 +42,7 @@
     """One stream to a peer, whoever opened it."""
 
     stream: streams.Stream
-    link: gossip.Link
+    link: gossip.PeerVersions
 
 
 class Links:
@@ -53,7 +53,7 @@
         me: data.Member,
         shared_key: str,
         hub: hub_lib.Hub,
-        store: gossip.Store,
+        store: gossip.ItemStore,
         membership: membership_lib.Membership,
         instances: instances_http.HttpInstances,
         clock: clock_lib.Clock,
@@ -132,7 +132,7 @@
             match action:
                 case membership_lib.Vote(member=member, suspect=suspect):
                     self._spread_vote(member, suspect)
-                case membership_lib.Changed(member=member, state=state):
+                case membership_lib.BeliefChanged(member=member, state=state):
                     name = member.incarnation.instance
                     self._logger.info(
                         "belief changed", peer=name, state=state.value
@@ -159,7 +159,7 @@
     def _connect_missing(self) -> None:
         members = self._membership.known()
         now = asyncio.get_running_loop().time()
-        wanted = overlay.links_of(self._me.incarnation.instance, members)
+        wanted = overlay.stream_peers(self._me.incarnation.instance, members)
         for name, member in (wanted | self._group_peers(members)).items():
             if name in self._open or name in self._connecting:
                 continue
@@ -206,7 +206,7 @@
             # Nobody listens there, and a steward listens for as long as it
             # lives: this incarnation is dead.
             if member.incarnation.started:
-                self._keeper.proved_dead(member.incarnation)
+                self._keeper.on_peer_death(member.incarnation)
             return False
         except streams.StreamClosed:
             return False
@@ -284,7 +284,7 @@
 
     async def serve(self, stream: streams.Stream, name: str) -> None:
         """Talks with one peer until the stream ends."""
-        one = _Open(stream, gossip.Link(name, ""))
+        one = _Open(stream, gossip.PeerVersions(name, ""))
         earlier = self._open.get(name)
         self._open[name] = one
         if earlier is not None:
@@ -345,12 +345,12 @@
             and earlier.incarnation != incarnation
         ):
             # Another process answers at the instance's address.
-            self._keeper.proved_dead(earlier.incarnation)
+            self._keeper.on_peer_death(earlier.incarnation)
         self._heard[instance] = heartbeat
         self._remember(heartbeat.member)
-        self._contacts.heard(heartbeat)
-        self._keeper.heard_from(incarnation)
-        changes = self._membership.heard(
+        self._contacts.on_heartbeat(heartbeat)
+        self._keeper.on_peer_heartbeat(incarnation)
+        changes = self._membership.on_heartbeat(
             heartbeat.member, heartbeat.leaving, self._clock.monotonic_ms()
         )
         for change in changes:
@@ -360,14 +360,14 @@
             )
 
     def _on_item(self, one: _Open, item: gossip.Item) -> None:
-        one.link.note(item)
+        one.link.mark_known(item)
         if not self._store.put(item):
             return
         if not item.key.startswith(VOTE_PREFIX):
             return
         vote = codec.from_plain(item.value).value_or(None)
         if isinstance(vote, messages.SuspicionVote):
-            self._membership.vote_heard(
+            self._membership.on_vote(
                 vote.watcher, vote.incarnation, vote.suspect
             )
 
@@ -379,7 +379,7 @@
     async def _send_one(self, one: _Open) -> None:
         with contextlib.suppress(streams.StreamClosed):
             await self._send_heartbeat(one)
-            news = self._store.news_for(one.link, ITEMS_PER_MESSAGE)
+            news = self._store.delta_for(one.link, ITEMS_PER_MESSAGE)
             if news:
                 message = gossip.Items(tuple(news))
                 self.bytes_sent += await one.stream.send(message)
@@ -396,7 +396,7 @@
             self.log_reachable,
             self.leaving,
             self._contacts.echo_for(instance),
-            self._keeper.kept_in_dark,
+            self._keeper.isolated_claim_count,
         )
         self.bytes_sent += await one.stream.send(heartbeat)
 
@@ -412,7 +412,9 @@
             except (streams.StreamClosed, TimeoutError):
                 self._states.pop(request_id, None)
                 continue
-            if snapshot is not None and self._hub.replica.adopt(snapshot):
+            if snapshot is not None and self._hub.replica.install_snapshot(
+                snapshot
+            ):
                 self._logger.info(
                     "state is taken from a peer",
                     peer=one.link.peer,
@@ -426,7 +428,7 @@
         """Takes in all members that the replayed state names."""
         now_ms = self._clock.monotonic_ms()
         for member in self._hub.state.members.values():
-            self._membership.introduce(member, now_ms)
+            self._membership.add_member(member, now_ms)
             self._remember(member)
 
     def _remember(self, member: data.Member) -> None:
@@ -451,13 +453,13 @@
             return
         unknown = data.Incarnation(line.instance, "")
         member = data.Member(unknown, line.zone, "", line.address)
-        self._membership.introduce(member, now_ms)
+        self._membership.add_member(member, now_ms)
 
-    def _on_event(self, event: replay.Event) -> None:
+    def _on_event(self, event: replay.AppliedRecord) -> None:
         record_name = type(event.record).__name__
         if record_name == "MemberJoined":
             self._remember(event.record.member)
-            self._membership.introduce(
+            self._membership.add_member(
                 event.record.member, self._clock.monotonic_ms()
             )
         elif record_name == "MemberLeft":
--- a/sesamecross/steward/log_reader.py
+++ b/sesamecross/steward/log_reader.py
@@ -92,7 +92,7 @@
         at_end = page.start + len(page.payloads) >= page.next_offset
         if not at_end:
             return
-        if replica.progress is catchup.Progress.FOLLOWING:
+        if replica.progress is catchup.CatchupState.FOLLOWING:
             self._caught_up = True
             return
         # The log holds no snapshot that joins what it still has; only a
--- a/sesamecross/steward/mover.py
+++ b/sesamecross/steward/mover.py
@@ -14,9 +14,9 @@
 from sesamecross.core import clock as clock_lib
 from sesamecross.core import data
 from sesamecross.core import records
-from sesamecross.ops import evidence
 from sesamecross.ops import intents
 from sesamecross.ops import ledger
+from sesamecross.ops import order_outcomes
 from sesamecross.ops import placement
 from sesamecross.ops import timeline
 from sesamecross.ports import engine_http
@@ -342,7 +342,7 @@
             return
         state = self._hub.state
         for intent in intents.of_upstream(state.intents, upstream.name):
-            outcome = evidence.outcome_of(
+            outcome = order_outcomes.outcome_of(
                 intent, status, upstream.checks_fencing
             )
             if outcome is None:
--- a/sesamecross/steward/reporter.py
+++ b/sesamecross/steward/reporter.py
@@ -47,7 +47,7 @@
         self,
         me: data.Member,
         hub: hub_lib.Hub,
-        store: gossip.Store,
+        store: gossip.ItemStore,
         membership: membership_lib.Membership,
         engines: engine_http.HttpEngine,
         recorder: timeline.Recorder,
@@ -80,7 +80,7 @@
         """Nothing is open between polls."""
 
     def _own_upstreams(self) -> list[data.Upstream]:
-        alive = self._membership.zone_alive()
+        alive = self._membership.alive_in_zone()
         me = self._me.incarnation.instance
         return [
             upstream
@@ -108,9 +108,9 @@
         return None
 
     @property
-    def changes(self) -> int:
+    def change_count(self) -> int:
         """Grows with each report, own or heard of."""
-        return self._store.changes
+        return self._store.change_count
 
     def report_of(self, upstream: str) -> data.UpstreamReport | None:
         """Returns the newest report that this steward knows."""
--- a/sesamecross/steward/snapshotter.py
+++ b/sesamecross/steward/snapshotter.py
@@ -72,10 +72,10 @@
         replica = self._hub.replica
         if not (self._reader.caught_up and self._writer.reachable):
             return False
-        if replica.last_snapshot < self._waits_for:
+        if replica.last_snapshot_offset < self._waits_for:
             # The own one is on its way.
             return False
-        behind = replica.state.next_offset - 1 - replica.last_snapshot
+        behind = replica.state.next_offset - 1 - replica.last_snapshot_offset
         if behind < self._every:
             return False
         # Who is asked changes with the distance, so that a steward that does
--- a/sesamecross/steward/views.py
+++ b/sesamecross/steward/views.py
@@ -79,7 +79,7 @@
     async def _send_if_changed(self, session: server_lib.EntrySession) -> None:
         config = self._hub.state.config.state
         signs = (
-            self._reporter.changes,
+            self._reporter.change_count,
             config.version,
             tuple(sorted(self._hub.state.draining)),
             self._reader.reachable,
