--- a/sesamecross/fakes/order_desk_player.py
+++ b/sesamecross/fakes/order_desk_player.py
@@ -137,7 +137,7 @@
         self.answered: list[_Answered] = []
         self.metrics = metrics_lib.Metrics()
         self.state = state_lib.State(samples.INSTANCE)
-        self.state.offer(CONFIGURATION)
+        self.state.offer_configuration(CONFIGURATION)
         self._now_s = 1000.0
         self._born_ms = 1
         self._fence = 0
--- a/sesamecross/gateway/app.py
+++ b/sesamecross/gateway/app.py
@@ -9,6 +9,7 @@
 from sesamecross.core import fleet_messages as fm
 from sesamecross.core import serving
 from sesamecross.gateway import catalog
+from sesamecross.gateway import connection_pool as connection_pool_lib
 from sesamecross.gateway import engine_client
 from sesamecross.gateway import follower
 from sesamecross.gateway import forwarder as forwarder_lib
@@ -18,7 +19,6 @@
 from sesamecross.gateway import mesh as mesh_lib
 from sesamecross.gateway import order_desk
 from sesamecross.gateway import pacing as pacing_lib
-from sesamecross.gateway import pool as pool_lib
 from sesamecross.gateway import registrar
 from sesamecross.gateway import reloader
 from sesamecross.gateway import state as state_lib
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Adapter:
+class PlatformAdapter:
     """What a platform's adapter brings: forms and names, no decisions.
 
     Attributes:
@@ -79,7 +79,7 @@
     def __init__(
         self,
         instance: serving.Instance,
-        adapter: Adapter,
+        adapter: PlatformAdapter,
         source: reloader.SettingsSource,
     ):
         self._instance = instance
@@ -94,7 +94,7 @@
     def from_config(
         cls,
         instance: serving.Instance,
-        adapter: Adapter,
+        adapter: PlatformAdapter,
         source: reloader.SettingsSource,
     ) -> "GatewayApp":
         """Returns the application of one instance.
@@ -113,9 +113,13 @@
     def components(self) -> list[supervisor.Component]:
         """Returns the parts in the order of their start."""
         instance, adapter = self._instance, self._adapter
-        self.pool = pool_lib.Pool()
+        self.connection_pool = connection_pool_lib.ConnectionPool()
         self.forwarder = forwarder_lib.Forwarder(
-            self.state, adapter.dialect, self.pool, self._rng, self.metrics
+            self.state,
+            adapter.dialect,
+            self.connection_pool,
+            self._rng,
+            self.metrics,
         )
         self._ready = status.StatusHandler(self.state, None)
         metrics = status.StatusHandler(self.state, self.metrics)
@@ -185,7 +189,7 @@
             ),
             configurations,
             upstreams,
-            sweeper.Sweeper(self.state, self.pool),
+            sweeper.Sweeper(self.state, self.connection_pool),
             self._reloader,
             self._joiner,
             self.mesh,
--- a/sesamecross/gateway/app_test.py
+++ b/sesamecross/gateway/app_test.py
@@ -20,10 +20,10 @@
 from sesamecross.fakes import jumping_loop
 from sesamecross.fakes import samples
 from sesamecross.gateway import app as app_lib
+from sesamecross.gateway import connection_pool as connection_pool_lib
 from sesamecross.gateway import engine_search
 from sesamecross.gateway import forwarder as forwarder_lib
-from sesamecross.gateway import front as front_lib
-from sesamecross.gateway import pool as pool_lib
+from sesamecross.gateway import server_connection as front_lib
 from sesamecross.gateway import store_client
 from sesamecross.ops.fleet import stopping
 from sesamecross.platform import program
@@ -236,8 +236,8 @@
     tree.start()
     await until(lambda: app.front.address)
     if is_configured:
-        app.state.offer(CONFIGURATION)
-        app.state.has_upstreams = True
+        app.state.offer_configuration(CONFIGURATION)
+        app.state.has_upstream_list = True
         entry = serving.Upstream("u1", "s", f"{host}:{port}", "z1", 9, False, 1)
         app.state.directory.update_entry(
             entry, asyncio.get_running_loop().time()
@@ -472,7 +472,7 @@
         await asyncio.Event().wait()
 
     if not is_sent:
-        monkeypatch.setattr(pool_lib.Pool, "take", never)
+        monkeypatch.setattr(connection_pool_lib.ConnectionPool, "take", never)
 
     async def play():
         async with playing(bounds=with_grace(0.9)) as played:
@@ -496,8 +496,8 @@
     """
     handle = forwarder_lib.Forwarder.handle
 
-    def handle_and_end(self, request, exchange) -> None:
-        handle(self, request, exchange)
+    def handle_and_end(self, request, response_writer) -> None:
+        handle(self, request, response_writer)
         self.stop = stopping.Stop(0.0, math.inf)
         self.end()
 
@@ -634,7 +634,7 @@
             drain = asyncio.create_task(app.drain())
             await asyncio.sleep(0)
             app.reload()
-            app.state.take_settings(
+            app.state.apply_settings(
                 dataclasses.replace(INSTANCE, bounds=with_grace(500.0))
             )
             await asyncio.wait([drain], timeout=MEANWHILE_S)
@@ -659,7 +659,7 @@
             caller = await played.connect()
             caller.ask("/once/")
             await played.upstream.arrived.wait()
-            state.offer(
+            state.offer_configuration(
                 dataclasses.replace(
                     CONFIGURATION, version=2, routes=(), services={}
                 )
@@ -669,7 +669,7 @@
                 asyncio.get_running_loop().time()
             )
             for known in state.directory:
-                played.app.pool.drop(known.entry.address)
+                played.app.connection_pool.drop(known.entry.address)
             played.upstream.answers.set()
             first = await caller.status()
             await caller.reader.readexactly(4)
@@ -705,7 +705,7 @@
             assert await caller.status() == 200
             await caller.reader.readuntil(b"\r\n0\r\n\r\n")
             caller.ask("/plain/")
-            return await caller.status(), played.app.pool.opened
+            return await caller.status(), played.app.connection_pool.opened
 
     assert asyncio.run(play()) == (200, 1)
 
@@ -762,7 +762,7 @@
                 for one in CONFIGURATION.routes
             )
             newer = dataclasses.replace(CONFIGURATION, version=2, routes=routes)
-            played.app.state.offer(newer)
+            played.app.state.offer_configuration(newer)
             caller = await played.connect()
             caller.ask(path, "Model: m\r\nToken-Usage: 800,15\r\n")
             head = await caller.reader.readuntil(b"\r\n\r\n")
--- a/sesamecross/gateway/attempt.py
+++ b/sesamecross/gateway/attempt.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Whole:
+class CompleteResponse:
     """A whole answer, proved to be the upstream's own."""
 
     status: int
@@ -29,11 +29,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Streamed:
+class StreamCompleted:
     """A stream that came to its end and was passed on."""
 
 
-Outcome = Whole | Streamed | retry_policy.Failure
+Outcome = CompleteResponse | StreamCompleted | retry_policy.Failure
 
 
 class Attempt:
@@ -97,7 +97,7 @@
         if self._is_stream:
             try:
                 self._relay.feed(data)
-            except event_relay.WrongEvent as error:
+            except event_relay.InvalidEvent as error:
                 self._settle(retry_policy.Lost(str(error)))
             return
         self._size += len(data)
@@ -110,7 +110,7 @@
         """The answer is complete."""
         if self._is_stream:
             if self._relay.is_between_events:
-                self._settle(Streamed())
+                self._settle(StreamCompleted())
             else:
                 self._settle(retry_policy.Lost("the stream ended in an event"))
             return
@@ -125,7 +125,9 @@
                 is_absent=said.is_misdirected and is_here,
                 is_other=said.is_misdirected and not is_here,
             )
-        return Whole(self._status, self._headers, b"".join(self._pieces))
+        return CompleteResponse(
+            self._status, self._headers, b"".join(self._pieces)
+        )
 
     def on_broken(self, reason: str) -> None:
         """The answer will never be complete."""
--- a/sesamecross/gateway/catalog.py
+++ b/sesamecross/gateway/catalog.py
@@ -61,7 +61,7 @@
             self._log.warning("unreadable", offset=record.offset)
             return
         before = self._state.version
-        if self._state.offer(configuration):
+        if self._state.offer_configuration(configuration):
             self._log.info(
                 "in force",
                 version=configuration.version,
@@ -111,7 +111,7 @@
         if record.value is None:
             directory.lapsed(record.key, now_s)
             self._log.info("lapsed", id=record.key, offset=record.offset)
-            self._state.touch()
+            self._state.notify_change()
             return
         entry = self._decode(record.key, record.value)
         if entry is None:
@@ -120,7 +120,7 @@
         known = directory.get(record.key)
         before = known.entry if known is not None else None
         if directory.update_entry(entry, now_s):
-            self._state.touch()
+            self._state.notify_change()
             # What it holds changes with each order, at each upstream and for
             # each instance: 23,000 lines in 50 s. The orders are logged.
             tell = self._log.debug
@@ -140,13 +140,13 @@
         """Keys that are not listed were dropped unread."""
         for key in sorted(self.raw.missing_from(keys)):
             self.on_record(store.KeyedRecord(key, None, end - 1))
-        self._state.has_upstreams = True
+        self._state.has_upstream_list = True
 
     def on_reached(self, end: int) -> None:
         """All records before `end` were taken in."""
         self.raw.advance_end(end)
         self._state.upstreams_offset = self.raw.end
-        self._state.has_upstreams = True
+        self._state.has_upstream_list = True
 
 
 def _is_other_life(before: serving.Upstream, entry: serving.Upstream) -> bool:
--- a/sesamecross/gateway/catalog_test.py
+++ b/sesamecross/gateway/catalog_test.py
@@ -141,7 +141,7 @@
         asyncio.run(_take_again(sink, records))
     usable = state.directory.usable("s", 0.0)
     assert [one.entry.instance_id for one in usable] == ["u1", "u3"]
-    assert (state.has_upstreams, state.upstreams_offset) == (True, 4)
+    assert (state.has_upstream_list, state.upstreams_offset) == (True, 4)
     told = [line["offset"] for line in lines if line.get("exc_info")]
     assert told == [1, 2]
 
--- a/sesamecross/gateway/client_connection.py
+++ b/sesamecross/gateway/client_connection.py
@@ -27,7 +27,7 @@
 _USER_TIMEOUT_MS = 3000
 
 
-class Receiver(Protocol):
+class ResponseReceiver(Protocol):
     """Who gets an answer, piece by piece."""
 
     def on_head(self, status: int, headers: list[serving.Header]) -> bool:
@@ -43,7 +43,7 @@
         """The answer will never be complete."""
 
 
-def request_bytes(
+def encode_request(
     method: bytes,
     target: bytes,
     headers: list[serving.Header],
@@ -57,7 +57,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
-def probe_when_silent(sock: socket.socket) -> None:
+def enable_keepalive(sock: socket.socket) -> None:
     """Makes the kernel find out when the other end is silently gone.
 
     A connection can go silent without a reset when the other machine loses
@@ -106,7 +106,7 @@
         self._loop = loop
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._receiver: Receiver | None = None
+        self._receiver: ResponseReceiver | None = None
         self._headers: list[serving.Header] = []
         self._is_ours = False
         self._strange = 0
@@ -125,7 +125,7 @@
             and not self._transport.is_closing()
         )
 
-    def send(self, data: bytes, receiver: Receiver) -> None:
+    def send(self, data: bytes, receiver: ResponseReceiver) -> None:
         """Sends a request; its answer goes to `receiver`."""
         self._receiver = receiver
         self._strange = 0
@@ -165,7 +165,7 @@
         self._transport = transport
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            probe_when_silent(sock)
+            enable_keepalive(sock)
 
     def data_received(self, data: bytes) -> None:
         """Parses what came; bytes that nobody waits for spoil it."""
--- a/sesamecross/gateway/pool.py
+++ b/sesamecross/gateway/connection_pool.py
@@ -12,7 +12,7 @@
 # between regions (40 ms) and some time of a busy upstream. One that takes
 # longer goes to an upstream that is gone or cut off, or whose queue of
 # connections is full; nothing was sent yet, so another one can be asked.
-CONNECT_S = 0.35
+CONNECT_TIMEOUT_S = 0.35
 # Idle connections are reused this long, or shorter where the upstream names
 # a shorter time.
 IDLE_MOST_S = 4.0
@@ -20,7 +20,7 @@
 KEEP_MARGIN_S = 0.5
 
 
-class Pool:
+class ConnectionPool:
     """Idle connections by address; the last one used is used first."""
 
     __slots__ = ("_idle", "opened")
@@ -45,7 +45,7 @@
             connection.close()
         self.opened += 1
         return await client_connection.connect(
-            address, min(timeout_s, CONNECT_S)
+            address, min(timeout_s, CONNECT_TIMEOUT_S)
         )
 
     def give(
--- a/sesamecross/gateway/whole_call.py
+++ b/sesamecross/gateway/control_client.py
@@ -11,7 +11,7 @@
 from sesamecross.core import serving
 from sesamecross.gateway import client_connection
 
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 MAX_BODY_BYTES = 16 * 1024 * 1024
 
 
@@ -78,7 +78,7 @@
             self._done.set_result(outcome)
 
 
-class Caller:
+class ControlClient:
     """Calls one address over kept connections."""
 
     __slots__ = ("_address", "_idle", "_idle_most_s")
@@ -105,18 +105,18 @@
         ends_s = loop.time() + timeout_s
         connection = self._take(loop.time())
         if connection is None:
-            wait_s = min(CONNECT_S, timeout_s)
+            wait_s = min(CONNECT_TIMEOUT_S, timeout_s)
             try:
                 connection = await client_connection.connect(
                     self._address, wait_s
                 )
             except OSError as error:
-                self.forget()
+                self.close_connections()
                 return NotSent(str(error) or type(error).__name__)
         done = loop.create_future()
         host = [(b"host", self._address.encode())]
         connection.send(
-            client_connection.request_bytes(
+            client_connection.encode_request(
                 method, target, host + headers, body
             ),
             _Collector(done),
@@ -131,7 +131,7 @@
             outcome = done.result()
         if isinstance(outcome, NoAnswer):
             connection.abort()
-            self.forget()
+            self.close_connections()
         elif connection.is_open:
             self._idle.append(connection)
         return outcome
@@ -145,7 +145,7 @@
             connection.close()
         return None
 
-    def forget(self) -> None:
+    def close_connections(self) -> None:
         """Closes all idle connections."""
         for connection in self._idle:
             connection.close()
--- a/sesamecross/gateway/engine_client.py
+++ b/sesamecross/gateway/engine_client.py
@@ -1,7 +1,7 @@
 """Calls to engines' own interfaces: reports and orders."""
 
 from sesamecross.core import serving
-from sesamecross.gateway import whole_call
+from sesamecross.gateway import control_client
 from sesamecross.ports import dialect as dialect_lib
 from sesamecross.runtime import metrics as metrics_lib
 
@@ -21,7 +21,7 @@
     ):
         self._dialect = dialect
         self._metrics = metrics
-        self._callers: dict[str, whole_call.Caller] = {}
+        self._callers: dict[str, control_client.ControlClient] = {}
 
     async def report(
         self, upstream: serving.Upstream
@@ -30,7 +30,10 @@
         call = self._dialect.report_call(upstream.instance_id)
         outcome = await self._call(upstream.address, call)
         self._count("report", outcome)
-        if not isinstance(outcome, whole_call.Answer) or outcome.status != 200:
+        if (
+            not isinstance(outcome, control_client.Answer)
+            or outcome.status != 200
+        ):
             return None
         return self._dialect.report(outcome.body)
 
@@ -40,26 +43,26 @@
         outcome = await self._call(order.address, call)
         self._count("order", outcome)
         match outcome:
-            case whole_call.Answer(status):
+            case control_client.Answer(status):
                 return self._dialect.order_answer(status)
-            case whole_call.NotSent():
+            case control_client.NotSent():
                 return serving.OrderAnswer.REFUSED
         return serving.OrderAnswer.UNKNOWN
 
     async def _call(
         self, address: str, call: dialect_lib.ControlCall
-    ) -> whole_call.Outcome:
+    ) -> control_client.Outcome:
         caller = self._callers.get(address)
         if caller is None:
-            caller = whole_call.Caller(address)
+            caller = control_client.ControlClient(address)
             self._callers[address] = caller
         return await caller.call(
             call.method, call.target, list(call.headers), call.body, CALL_S
         )
 
-    def _count(self, what: str, outcome: whole_call.Outcome) -> None:
+    def _count(self, what: str, outcome: control_client.Outcome) -> None:
         status = type(outcome).__name__
-        if isinstance(outcome, whole_call.Answer):
+        if isinstance(outcome, control_client.Answer):
             status = str(outcome.status)
         self._metrics.count(
             "sesamecross_engine_calls_total",
@@ -67,8 +70,8 @@
             {"call": what, "outcome": status},
         )
 
-    def forget(self, address: str) -> None:
+    def close_connections(self, address: str) -> None:
         """Drops the connections to an engine that is gone."""
         caller = self._callers.pop(address, None)
         if caller is not None:
-            caller.forget()
+            caller.close_connections()
--- a/sesamecross/gateway/engine_search.py
+++ b/sesamecross/gateway/engine_search.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class EngineParts:
+class SearchContext:
     """What the searches of one instance share.
 
     Attributes:
@@ -72,7 +72,7 @@
 
     def __init__(
         self,
-        parts: EngineParts,
+        parts: SearchContext,
         route: serving.Route,
         call: serving.ModelCall,
         arrived_s: float,
--- a/sesamecross/gateway/event_relay.py
+++ b/sesamecross/gateway/event_relay.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from sesamecross.core import serving
-from sesamecross.gateway import exchange as exchange_lib
+from sesamecross.gateway import response_writer as response_writer_lib
 from sesamecross.ops.fleet import directory
 
 _MAX_EVENT_BYTES = 1024 * 1024
@@ -17,7 +17,7 @@
 _ID = b"id:"
 
 
-class WrongEvent(Exception):
+class InvalidEvent(Exception):
     """The upstream sent something that is not the next event."""
 
 
@@ -42,12 +42,12 @@
         "gap_s",
         "gap_at_s",
         "_last_s",
-        "_exchange",
+        "_response_writer",
         "_head",
         "_rest",
     )
 
-    def __init__(self, exchange: exchange_lib.Exchange):
+    def __init__(self, response_writer: response_writer_lib.ResponseWriter):
         self.events = 0
         self.last_id = ""
         self.first_s: float | None = None
@@ -56,7 +56,7 @@
         self._last_s = 0.0
         self.upstream: directory.KnownUpstream | None = None
         self.on_first: Callable[[], None] | None = None
-        self._exchange = exchange
+        self._response_writer = response_writer
         self._head: tuple[int, list[serving.Header]] | None = None
         self._rest = b""
 
@@ -81,7 +81,7 @@
         """
         whole, end, rest = (self._rest + data).rpartition(_END)
         if len(rest) > _MAX_EVENT_BYTES:
-            raise WrongEvent("an event without end")
+            raise InvalidEvent("an event without end")
         self._rest = rest
         if not end:
             return
@@ -100,11 +100,11 @@
             self.on_first()
             self.on_first = None
         self._note_ids(whole)
-        if self._exchange.is_begun:
-            self._exchange.piece(whole)
+        if self._response_writer.is_begun:
+            self._response_writer.piece(whole)
         else:
             status, headers = self._head
-            self._exchange.begin(status, headers, whole)
+            self._response_writer.begin(status, headers, whole)
 
     def _note_ids(self, whole: bytes) -> None:
         for event in whole.split(_END):
@@ -117,8 +117,8 @@
 
     def finish(self) -> None:
         """Ends the caller's answer as complete."""
-        if self._exchange.is_begun:
-            self._exchange.end()
+        if self._response_writer.is_begun:
+            self._response_writer.end()
         else:
             status, headers = self._head
-            self._exchange.whole(status, headers, b"")
+            self._response_writer.whole(status, headers, b"")
--- a/sesamecross/gateway/event_relay_test.py
+++ b/sesamecross/gateway/event_relay_test.py
@@ -72,8 +72,8 @@
     """
 
     async def play():
-        exchange = _Exchange()
-        relay = event_relay.EventRelay(exchange)
+        response_writer = _Exchange()
+        relay = event_relay.EventRelay(response_writer)
         for number, (share, size) in enumerate(runs):
             data = run_from(relay.last_id, count)
             data = data[: int(len(data) * share)]
@@ -83,14 +83,14 @@
         relay.begin_run(200, ((SIGNATURE, b"last"),))
         relay.feed(run_from(relay.last_id, count))
         relay.finish()
-        return exchange, relay
+        return response_writer, relay
 
-    exchange, relay = asyncio.run(play())
-    assert exchange.received == run_from("", count)
-    assert exchange.is_ended
+    response_writer, relay = asyncio.run(play())
+    assert response_writer.received == run_from("", count)
+    assert response_writer.is_ended
     assert relay.events == count
     # All of it bears one head: that of the run whose events came first.
-    assert len(exchange.headers) == 1
+    assert len(response_writer.headers) == 1
 
 
 @pytest.mark.parametrize(
@@ -104,15 +104,15 @@
 )
 def test_only_whole_events_are_passed_on(pieces, received, is_between):
     async def play():
-        exchange = _Exchange()
-        relay = event_relay.EventRelay(exchange)
+        response_writer = _Exchange()
+        relay = event_relay.EventRelay(response_writer)
         relay.begin_run(200, ())
         for piece in pieces:
             relay.feed(piece)
-        return exchange, relay
+        return response_writer, relay
 
-    exchange, relay = asyncio.run(play())
-    assert exchange.received == received
+    response_writer, relay = asyncio.run(play())
+    assert response_writer.received == received
     assert relay.is_between_events is is_between
 
 
@@ -122,7 +122,7 @@
     async def play():
         relay = event_relay.EventRelay(_Exchange())
         relay.begin_run(200, ())
-        with pytest.raises(event_relay.WrongEvent):
+        with pytest.raises(event_relay.InvalidEvent):
             for _ in range(10_000):
                 relay.feed(b"x" * 1024)
 
--- a/sesamecross/gateway/forwarder.py
+++ b/sesamecross/gateway/forwarder.py
@@ -12,12 +12,12 @@
 from sesamecross.core import serving
 from sesamecross.gateway import attempt as attempt_lib
 from sesamecross.gateway import client_connection
+from sesamecross.gateway import connection_pool as connection_pool_lib
 from sesamecross.gateway import engine_search
 from sesamecross.gateway import event_relay
-from sesamecross.gateway import exchange as exchange_lib
-from sesamecross.gateway import front
-from sesamecross.gateway import pool as pool_lib
-from sesamecross.gateway import prompt as prompt_lib
+from sesamecross.gateway import prefill_tracker as prefill_tracker_lib
+from sesamecross.gateway import response_writer as response_writer_lib
+from sesamecross.gateway import server_connection
 from sesamecross.gateway import state as state_lib
 from sesamecross.ops.fleet import directory
 from sesamecross.ops.fleet import engine_state
@@ -41,7 +41,7 @@
     __slots__ = (
         "_state",
         "_dialect",
-        "_pool",
+        "_connection_pool",
         "_rng",
         "_metrics",
         "_log",
@@ -55,18 +55,18 @@
         self,
         state: state_lib.State,
         dialect: dialect_lib.Dialect,
-        pool: pool_lib.Pool,
+        connection_pool: connection_pool_lib.ConnectionPool,
         rng: random.Random,
         metrics: metrics_lib.Metrics,
     ):
         self._state = state
         self._dialect = dialect
-        self._pool = pool
+        self._connection_pool = connection_pool
         self._rng = rng
         self._metrics = metrics
         self._log = logs.part("request")
         self._open: set[_Serving] = set()
-        self.engines = engine_search.EngineParts(state, rng)
+        self.engines = engine_search.SearchContext(state, rng)
         self.uses = target_uses.TargetUses()
         # Set while this instance stops.
         self.stop: stopping.Stop | None = None
@@ -97,7 +97,7 @@
             one.give_up()
 
     def read_request(
-        self, head: front.Head, body: bytes
+        self, head: server_connection.Head, body: bytes
     ) -> serving.Request | None:
         """Returns the request that a head and a body make."""
         said = self._dialect.caller_head(head.headers)
@@ -119,10 +119,12 @@
         self._log.warning("malformed", status=status, why=reason)
 
     def handle(
-        self, request: serving.Request, exchange: exchange_lib.Exchange
+        self,
+        request: serving.Request,
+        response_writer: response_writer_lib.ResponseWriter,
     ) -> None:
         """Starts to answer a request."""
-        one = _Serving(self, request, exchange)
+        one = _Serving(self, request, response_writer)
         task = asyncio.create_task(one.run())
         one.task = task
         self._open.add(one)
@@ -136,7 +138,7 @@
         "task",
         "_owner",
         "_request",
-        "_exchange",
+        "_response_writer",
         "_route",
         "_arrived_s",
         "_ends_s",
@@ -156,12 +158,12 @@
         self,
         owner: Forwarder,
         request: serving.Request,
-        exchange: exchange_lib.Exchange,
+        response_writer: response_writer_lib.ResponseWriter,
     ):
         self.task: asyncio.Task | None = None
         self._owner = owner
         self._request = request
-        self._exchange = exchange
+        self._response_writer = response_writer
         self._route: serving.Route | None = None
         self._arrived_s = asyncio.get_running_loop().time()
         self._ends_s = 0.0
@@ -180,8 +182,8 @@
     async def run(self) -> None:
         """Answers the request, or gives up when the caller is gone."""
         self._is_begun = True
-        self._exchange.on_gone = self._on_gone
-        self._exchange.on_slow = self._on_slow
+        self._response_writer.on_gone = self._on_gone
+        self._response_writer.on_slow = self._on_slow
         outcome = "failed"
         try:
             outcome = await self._run()
@@ -196,7 +198,7 @@
                 self._connection.abort()
             if self._search is not None:
                 self._search.release()
-            if not self._exchange.is_over:
+            if not self._response_writer.is_over:
                 # An error of ours: nothing may be promised.
                 self._fail(500)
             self._report(outcome)
@@ -210,10 +212,10 @@
             self.task.cancel()
 
     def _stopped(self) -> str:
-        if self._exchange.is_over:
+        if self._response_writer.is_over:
             return "caller gone"
         self._note = f"{self._note} the stop's time is over".strip()
-        if self._exchange.is_begun or self._progress.possibly_ran_at:
+        if self._response_writer.is_begun or self._progress.possibly_ran_at:
             return self._fail(502)
         self._back_s = 0.0
         return self._refuse(0.0)
@@ -243,15 +245,15 @@
         headers = self._owner._dialect.refusal(
             self._request.request_id, retry_after_s
         )
-        self._exchange.whole(503, headers, b"")
+        self._response_writer.whole(503, headers, b"")
         return "refused"
 
     def _fail(self, status: int) -> str:
-        if self._exchange.is_begun:
-            self._exchange.cut()
+        if self._response_writer.is_begun:
+            self._response_writer.cut()
             return "cut"
         headers = self._owner._dialect.refusal(self._request.request_id, None)
-        self._exchange.whole(status, headers, b"")
+        self._response_writer.whole(status, headers, b"")
         return f"status {status}"
 
     # -- the request's way ---------------------------------------------
@@ -299,7 +301,7 @@
                 engine_state.estimate_prefill_s(request.call),
             )
         if self._route.kind is serving.RouteKind.STREAM:
-            self._relay = event_relay.EventRelay(self._exchange)
+            self._relay = event_relay.EventRelay(self._response_writer)
         return await self._until_answered()
 
     async def _until_answered(self) -> str:
@@ -317,12 +319,12 @@
                 return self._refuse(0.0)
             failure = await self._attempt(upstream)
             match failure:
-                case attempt_lib.Whole() as whole:
+                case attempt_lib.CompleteResponse() as whole:
                     is_last = not self._may_replace(whole)
                     if is_last:
                         return self._deliver(whole)
                     failure = retry_policy.FailedThere(whole.status)
-                case attempt_lib.Streamed():
+                case attempt_lib.StreamCompleted():
                     self._relay.finish()
                     self._note_place()
                     return "streamed"
@@ -331,7 +333,7 @@
             self._note = f"{self._note} {failure}".strip()
             self._tried.add(upstream.entry.instance_id)
             may_spend = self._progress.sends == 0 or window.spend(
-                loop.time(), state.instances
+                loop.time(), state.instance_count
             )
             match retry_policy.decide_after_failure(
                 self._route, failure, self._progress, may_spend
@@ -377,7 +379,7 @@
             fresh or usable, state.location, now_s, self._owner._rng
         )
 
-    def _may_replace(self, whole: attempt_lib.Whole) -> bool:
+    def _may_replace(self, whole: attempt_lib.CompleteResponse) -> bool:
         """Whether another upstream may be asked instead of this answer."""
         return (
             whole.status >= 500
@@ -385,11 +387,11 @@
             and not self._progress.has_output
         )
 
-    def _deliver(self, whole: attempt_lib.Whole) -> str:
-        if self._exchange.is_begun:
+    def _deliver(self, whole: attempt_lib.CompleteResponse) -> str:
+        if self._response_writer.is_begun:
             return self._fail(502)
         headers = self._owner._dialect.to_caller(whole.headers)
-        self._exchange.whole(whole.status, headers, whole.body)
+        self._response_writer.whole(whole.status, headers, whole.body)
         return f"status {whole.status}"
 
     def _give_up(self, why: str) -> str:
@@ -399,8 +401,8 @@
         return self._refuse(self._back_s)
 
     def _out_of_time(self) -> str:
-        if self._exchange.is_begun:
-            self._exchange.cut()
+        if self._response_writer.is_begun:
+            self._response_writer.cut()
             return "cut at its time"
         if self._progress.possibly_ran_at:
             return self._fail(504)
@@ -419,10 +421,10 @@
         self._progress.tries += 1
         upstream.own_running += 1
         begun_s = loop.time()
-        prompt = self._begin_prompt(upstream)
+        prefill_tracker = self._begin_prompt(upstream)
         try:
             try:
-                connection = await self._owner._pool.take(
+                connection = await self._owner._connection_pool.take(
                     address, begun_s, left_s
                 )
             except OSError as error:
@@ -431,22 +433,22 @@
                     upstream.reachability.record_refusal(loop.time())
                 else:
                     upstream.reachability.record_timeout(loop.time())
-                self._owner._pool.drop(address)
+                self._owner._connection_pool.drop(address)
                 return retry_policy.NotSent(str(error) or type(error).__name__)
             outcome = await self._send(upstream, connection)
         finally:
             upstream.own_running -= 1
-            if prompt is not None:
-                prompt.end()
+            if prefill_tracker is not None:
+                prefill_tracker.end()
         self._learn(upstream, outcome, loop.time() - begun_s)
         return outcome
 
     def _begin_prompt(
         self, upstream: directory.KnownUpstream
-    ) -> prompt_lib.Prompt | None:
+    ) -> prefill_tracker_lib.PrefillTracker | None:
         if self._search is None or self._search.choice is None:
             return None
-        prompt = prompt_lib.Prompt(
+        prefill_tracker = prefill_tracker_lib.PrefillTracker(
             self._search.choice,
             self._request.call,
             self._owner.uses,
@@ -454,8 +456,8 @@
         )
         if self._relay is not None:
             self._relay.upstream = upstream
-            self._relay.on_first = prompt.first_event
-        return prompt
+            self._relay.on_first = prefill_tracker.first_event
+        return prefill_tracker
 
     async def _send(
         self,
@@ -467,7 +469,7 @@
         request = self._request
         left_s = self._ends_s - loop.time()
         if left_s <= 0:
-            self._owner._pool.give(entry.address, connection)
+            self._owner._connection_pool.give(entry.address, connection)
             return None
         one = attempt_lib.Attempt(
             loop,
@@ -487,7 +489,7 @@
         self._progress.sends += 1
         self._progress.possibly_ran_at.add(entry.instance_id)
         connection.send(
-            client_connection.request_bytes(
+            client_connection.encode_request(
                 request.method, request.path, headers, request.body
             ),
             one,
@@ -506,7 +508,7 @@
         if isinstance(outcome, retry_policy.Lost):
             connection.abort()
         else:
-            self._owner._pool.give(entry.address, connection)
+            self._owner._connection_pool.give(entry.address, connection)
         return outcome
 
     def _learn(
@@ -521,13 +523,13 @@
         ):
             upstream.reachability.record_contact(now_s)
         match outcome:
-            case attempt_lib.Whole(status):
+            case attempt_lib.CompleteResponse(status):
                 if status >= 500:
                     upstream.health.record_failure(now_s)
                 else:
                     upstream.health.record_success(now_s)
                     upstream.record_duration(took_s)
-            case attempt_lib.Streamed():
+            case attempt_lib.StreamCompleted():
                 upstream.health.record_success(now_s)
             case retry_policy.NotRun(is_absent=True):
                 call = self._request.call
--- a/sesamecross/gateway/lease_keeper_test.py
+++ b/sesamecross/gateway/lease_keeper_test.py
@@ -62,7 +62,7 @@
     async def step():
         steps.append(gateway.lease.machine)
         if len(steps) == 1 and is_running:
-            gateway.state.take_settings(changed)
+            gateway.state.apply_settings(changed)
         elif len(steps) > 1:
             raise asyncio.CancelledError
 
@@ -72,7 +72,7 @@
     async def play():
         gateway.mesh.join(ME, b"", ())
         if not is_running:
-            gateway.state.take_settings(changed)
+            gateway.state.apply_settings(changed)
         await gateway.lease.run()
 
     with pytest.raises(asyncio.CancelledError):
--- a/sesamecross/gateway/listener.py
+++ b/sesamecross/gateway/listener.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from sesamecross.gateway import front
+from sesamecross.gateway import server_connection
 
 # Connections that wait to be accepted. The platform's balancer hands over
 # all of a zone's callers at once when another instance stops.
@@ -34,7 +34,7 @@
         self,
         name: str,
         address: str,
-        handler: front.Handler,
+        handler: server_connection.Handler,
         is_vital: bool = True,
     ):
         self.name = name
@@ -43,7 +43,7 @@
         self._address = address
         self._handler = handler
         self._server: asyncio.Server | None = None
-        self.connections: set[front.FrontConnection] = set()
+        self.connections: set[server_connection.FrontConnection] = set()
 
     @property
     def address(self) -> str:
@@ -63,7 +63,7 @@
         loop = asyncio.get_running_loop()
         host, _, port = self._address.rpartition(":")
         self._server = await loop.create_server(
-            lambda: front.FrontConnection(
+            lambda: server_connection.FrontConnection(
                 self._handler, loop, self.connections
             ),
             host,
--- a/sesamecross/gateway/order_desk_ends_test.py
+++ b/sesamecross/gateway/order_desk_ends_test.py
@@ -118,7 +118,7 @@
     it four times in one run of upstreams that leave, each with a KeyError.
     """
     state = state_lib.State(samples.INSTANCE)
-    state.offer(CONFIGURATION)
+    state.offer_configuration(CONFIGURATION)
     mesh = _Mesh()
     desk = order_desk.OrderDesk(
         state, mesh, _Lease(), _Engines(), metrics_lib.Metrics()
--- a/sesamecross/gateway/order_desk_test.py
+++ b/sesamecross/gateway/order_desk_test.py
@@ -69,7 +69,7 @@
     )
     desk = desk_of(gateway)
     assert begin_all(desk, SPEC, 100.0) > 0
-    gateway.state.take_settings(
+    gateway.state.apply_settings(
         dataclasses.replace(
             INSTANCE, bounds=dataclasses.replace(INSTANCE.bounds, **changes)
         )
@@ -126,7 +126,7 @@
             name: serving.Service(name, "/", 10, spec)
             for name, spec in specs.items()
         }
-        gateway.state.offer(
+        gateway.state.offer_configuration(
             serving.Configuration(1, (), services, serving.CallerLimits())
         )
         now_s = 1000.0
--- a/sesamecross/gateway/placement_teller.py
+++ b/sesamecross/gateway/placement_teller.py
@@ -87,7 +87,7 @@
             known = self._state.directory.get(place.upstream)
             if known is not None:
                 known.engine.apply_placement(place, now_s)
-        self._state.touch()
+        self._state.notify_change()
 
     def tell(
         self, places: Iterable[fm.EnginePlace], fence: int, now_s: float
--- a/sesamecross/gateway/placement_teller_test.py
+++ b/sesamecross/gateway/placement_teller_test.py
@@ -40,7 +40,7 @@
         self.directory: dict = {}
         self.touched = 0
 
-    def touch(self) -> None:
+    def notify_change(self) -> None:
         self.touched += 1
 
 
--- a/sesamecross/gateway/prompt.py
+++ b/sesamecross/gateway/prefill_tracker.py
@@ -13,7 +13,7 @@
 from sesamecross.ops.fleet import target_uses
 
 
-class Prompt:
+class PrefillTracker:
     """One attempt's prompt at an engine.
 
     Attributes:
--- a/sesamecross/gateway/reloader.py
+++ b/sesamecross/gateway/reloader.py
@@ -106,7 +106,7 @@
             return
         self._refused = ""
         self._taken = found
-        changed = self._state.take_settings(loaded.unwrap())
+        changed = self._state.apply_settings(loaded.unwrap())
         if is_asked or changed.in_force or changed.from_next_start:
             self._log.info(
                 "reloaded",
--- a/sesamecross/gateway/reloader_test.py
+++ b/sesamecross/gateway/reloader_test.py
@@ -72,7 +72,7 @@
     assert state.bounds.drain_s == 3.0
     assert state.directory.drain_s == 3.0
     assert state._instance.front_address == samples.INSTANCE.front_address
-    told = state.take_settings(CHANGED)
+    told = state.apply_settings(CHANGED)
     assert told.in_force == frozenset()
     assert told.from_next_start == {"front_address"}
 
@@ -141,13 +141,13 @@
     that is still the same a moment later is all there is.
     """
     taken = []
-    take = state_lib.State.take_settings
+    take = state_lib.State.apply_settings
 
     def note(state, instance):
         taken.append(instance.bounds.drain_s)
         return take(state, instance)
 
-    monkeypatch.setattr(state_lib.State, "take_settings", note)
+    monkeypatch.setattr(state_lib.State, "apply_settings", note)
     state = state_lib.State(OPERATORS)
     run(state, texts)
     assert state.bounds.drain_s == drain_s
--- a/sesamecross/gateway/exchange.py
+++ b/sesamecross/gateway/response_writer.py
@@ -44,7 +44,7 @@
     return f"HTTP/1.1 {status} {phrase}\r\n".encode()
 
 
-class Exchange:
+class ResponseWriter:
     """One request's answer. Whoever answers calls its methods in order.
 
     Attributes:
--- a/sesamecross/gateway/front.py
+++ b/sesamecross/gateway/server_connection.py
@@ -14,7 +14,7 @@
 import httptools
 
 from sesamecross.core import serving
-from sesamecross.gateway import exchange as exchange_lib
+from sesamecross.gateway import response_writer as response_writer_lib
 
 # Requests that a caller may send ahead on one connection. Ahead of them the
 # connection is not read: a flood would be held in memory otherwise.
@@ -43,7 +43,9 @@
         """Returns the request; None where its headers make no sense."""
 
     def handle(
-        self, request: serving.Request, exchange: exchange_lib.Exchange
+        self,
+        request: serving.Request,
+        response_writer: response_writer_lib.ResponseWriter,
     ) -> None:
         """Answers a whole request through `exchange`, now or later."""
 
@@ -79,7 +81,7 @@
         "_limits",
         "_rejection",
         "_waiting",
-        "_exchange",
+        "_response_writer",
         "_timer",
         "_given_s",
         "_promised_s",
@@ -107,7 +109,7 @@
         # Status with which the request being read is refused.
         self._rejection = 0
         self._waiting: deque[tuple[Head, bytes]] = deque()
-        self._exchange: exchange_lib.Exchange | None = None
+        self._response_writer: response_writer_lib.ResponseWriter | None = None
         self._timer: asyncio.TimerHandle | None = None
         # What the timer was armed with, of the caller's time.
         self._given_s = 0.0
@@ -120,7 +122,7 @@
     @property
     def is_idle(self) -> bool:
         """Whether no request is being read or answered."""
-        return self._exchange is None and not self._is_reading
+        return self._response_writer is None and not self._is_reading
 
     @property
     def is_busy(self) -> bool:
@@ -131,7 +133,7 @@
         """
         if self._transport is None:
             return False
-        if self._exchange is not None:
+        if self._response_writer is not None:
             return True
         if self._is_reading and not self._is_closing:
             return True
@@ -188,19 +190,19 @@
         self._transport = None
         self._is_closing = True
         self._waiting.clear()
-        if self._exchange is not None:
-            exchange, self._exchange = self._exchange, None
-            exchange.gone()
+        if self._response_writer is not None:
+            response_writer, self._response_writer = self._response_writer, None
+            response_writer.gone()
 
     def pause_writing(self) -> None:
         """The caller reads slowly."""
-        if self._exchange is not None:
-            self._exchange.slow(True)
+        if self._response_writer is not None:
+            self._response_writer.slow(True)
 
     def resume_writing(self) -> None:
         """The caller has caught up."""
-        if self._exchange is not None:
-            self._exchange.slow(False)
+        if self._response_writer is not None:
+            self._response_writer.slow(False)
 
     # -- httptools -----------------------------------------------------
 
@@ -352,7 +354,7 @@
           closes: It told the caller that the connection ends.
           may_follow: The caller may have sent more behind its request.
         """
-        self._exchange = None
+        self._response_writer = None
         if self._transport is None:
             return
         if closes:
@@ -369,17 +371,19 @@
             self._arm_limit()
 
     def _next(self) -> None:
-        if self._exchange is not None or not self._waiting:
+        if self._response_writer is not None or not self._waiting:
             return
         head, body = self._waiting.popleft()
         is_head = head.method == b"HEAD"
-        self._exchange = exchange_lib.Exchange(self, head.keeps_open, is_head)
+        self._response_writer = response_writer_lib.ResponseWriter(
+            self, head.keeps_open, is_head
+        )
         request = self._handler.read_request(head, body)
         if request is None:
             self._handler.rejected(400, "headers make no sense")
-            self._exchange.whole(400, [], b"")
+            self._response_writer.whole(400, [], b"")
             return
-        self._handler.handle(request, self._exchange)
+        self._handler.handle(request, self._response_writer)
 
     def _reject_now(self, status: int, reason: str) -> None:
         """Refuses what is being read, and what would follow it."""
@@ -387,7 +391,7 @@
             return
         self._is_closing = True
         self._handler.rejected(status, reason)
-        if self._exchange is None:
+        if self._response_writer is None:
             self._write_empty(status, b"")
         # An answer under way ends first; `is_to_close` closes behind it.
 
@@ -397,13 +401,17 @@
         Nothing of it was used, so it was not run, and its caller may send it
         elsewhere at once.
         """
-        if self._is_reading and not self._is_closing and self._exchange is None:
+        if (
+            self._is_reading
+            and not self._is_closing
+            and self._response_writer is None
+        ):
             self._is_closing = True
             self._handler.rejected(503, "half there as the process ends")
             self._write_empty(503, b"retry-after: 0\r\n")
 
     def _write_empty(self, status: int, lines: bytes) -> None:
-        head = exchange_lib.status_line(status) + lines
+        head = response_writer_lib.status_line(status) + lines
         tail = b"content-length: 0\r\nconnection: close\r\n\r\n"
         self._transport.write(head + tail)
         self._finish()
@@ -441,7 +449,7 @@
         self._timer = None
         if self._is_closing:
             # An answer under way ends the connection by itself.
-            if self._exchange is None:
+            if self._response_writer is None:
                 self._end_linger()
             return
         # Operators may have given callers more time since it was armed.
--- a/sesamecross/gateway/front_test.py
+++ b/sesamecross/gateway/server_connection_test.py
@@ -12,9 +12,9 @@
 import pytest
 
 from sesamecross.core import serving
-from sesamecross.gateway import exchange as exchange_lib
-from sesamecross.gateway import front
 from sesamecross.gateway import listener
+from sesamecross.gateway import response_writer as response_writer_lib
+from sesamecross.gateway import server_connection
 
 # No test waits so long; it only ends one that would hang.
 HANG_S = 10.0
@@ -82,8 +82,8 @@
         self.requests.append((head.method, head.target, body))
         return object()
 
-    def handle(self, request, exchange) -> None:
-        exchange.whole(200, [(b"x-answer", b"yes")], b"ok")
+    def handle(self, request, response_writer) -> None:
+        response_writer.whole(200, [(b"x-answer", b"yes")], b"ok")
 
     def rejected(self, status, reason) -> None:
         """Counted by what was written."""
@@ -91,7 +91,7 @@
 
 def play(pieces) -> tuple[_Handler, _Transport]:
     handler, transport = _Handler(), _Transport()
-    connection = front.FrontConnection(handler, _Loop(), set())
+    connection = server_connection.FrontConnection(handler, _Loop(), set())
     connection.connection_made(transport)
     for piece in pieces:
         connection.data_received(piece)
@@ -240,10 +240,10 @@
         self.is_closing = True
         self.caller: socket.socket | None = None
 
-    def handle(self, request, exchange) -> None:
+    def handle(self, request, response_writer) -> None:
         # The caller's next request is on its way as the answer goes out.
         self.caller.send(GET)
-        exchange.whole(200, [], b"x" * 400_000)
+        response_writer.whole(200, [], b"x" * 400_000)
 
 
 def test_bytes_behind_the_last_request_do_not_lose_its_answer():
@@ -330,10 +330,10 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.exchanges: list[exchange_lib.Exchange] = []
+        self.exchanges: list[response_writer_lib.ResponseWriter] = []
 
-    def handle(self, request, exchange) -> None:
-        self.exchanges.append(exchange)
+    def handle(self, request, response_writer) -> None:
+        self.exchanges.append(response_writer)
 
 
 class _Timed:
@@ -343,7 +343,9 @@
         self.handler = _HeldHandler()
         self.transport = _Transport()
         self.loop = _ClockLoop()
-        self.connection = front.FrontConnection(self.handler, self.loop, set())
+        self.connection = server_connection.FrontConnection(
+            self.handler, self.loop, set()
+        )
         self.connection.connection_made(self.transport)
 
     def limit(self, **changed) -> None:
@@ -419,11 +421,11 @@
     """
     one = _Timed()
     one.connection.data_received(GET)
-    exchange = one.handler.exchanges.pop()
-    exchange.begin(200, [], b"first")
+    response_writer = one.handler.exchanges.pop()
+    response_writer.begin(200, [], b"first")
     assert b"keep-alive: timeout=15\r\n" in one.transport.written
     one.limit(idle_s=5.0)
-    exchange.end()
+    response_writer.end()
     one.loop.go_on(14.0)
     assert not one.transport.is_closed
     one.loop.go_on(2.0)
--- a/sesamecross/gateway/state.py
+++ b/sesamecross/gateway/state.py
@@ -43,8 +43,8 @@
         "directory",
         "routes",
         "configuration",
-        "has_upstreams",
-        "instances",
+        "has_upstream_list",
+        "instance_count",
         "upstreams_offset",
         "fleet_demand",
         "fleet_uses",
@@ -62,15 +62,15 @@
         self.directory = directory_lib.Directory(instance.bounds.drain_s)
         self.routes = route_table.RouteTable(())
         self.configuration: serving.Configuration | None = None
-        self.has_upstreams = False
-        self.instances: int | None = None
+        self.has_upstream_list = False
+        self.instance_count: int | None = None
         self.upstreams_offset = -1
         self.fleet_demand: dict[tuple[str, str], fm.TargetDemand] = {}
         self.fleet_uses: dict[tuple[str, str], int] = {}
         self._changed = asyncio.Event()
         self._windows: dict[str, retry_budget.RetryBudget] = {}
 
-    def take_settings(self, instance: serving.Instance) -> SettingsChange:
+    def apply_settings(self, instance: serving.Instance) -> SettingsChange:
         """Takes new settings in; returns what changed.
 
         Bounds and the map of zones hold at once. Addresses, ports and the
@@ -98,7 +98,7 @@
                 window.set_limits(*self._retry_figures())
         return SettingsChange(frozenset(at_once), frozenset(changed - at_once))
 
-    def touch(self) -> None:
+    def notify_change(self) -> None:
         """Wakes who waits for a change of belief."""
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
@@ -113,7 +113,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether requests can be served."""
-        return self.configuration is not None and self.has_upstreams
+        return self.configuration is not None and self.has_upstream_list
 
     @property
     def version(self) -> int:
@@ -127,7 +127,7 @@
             return serving.CallerLimits()
         return self.configuration.limits
 
-    def offer(self, configuration: serving.Configuration) -> bool:
+    def offer_configuration(self, configuration: serving.Configuration) -> bool:
         """Takes a configuration in if it is newer than the one in force."""
         if configuration.version <= self.version:
             return False
@@ -135,7 +135,7 @@
         routes = route_table.RouteTable(configuration.routes)
         self.configuration = configuration
         self.routes = routes
-        self.touch()
+        self.notify_change()
         return True
 
     def retry_budget(self, route: serving.Route) -> retry_budget.RetryBudget:
--- a/sesamecross/gateway/state_test.py
+++ b/sesamecross/gateway/state_test.py
@@ -54,7 +54,7 @@
     assert allowed > 0
     again = 0
     for number in range(1, 6):
-        state.take_settings(bounds(drain_s=2.5 + number))
+        state.apply_settings(bounds(drain_s=2.5 + number))
         again += spend_all(state.retry_budget(ROUTE), 100.0 + number)
         again += spend_all(held, 100.0 + number)
     assert again == 0
@@ -81,7 +81,7 @@
     for _ in range(100):
         held.request(100.0)
     assert spend_all(held, 100.0) > 0
-    state.take_settings(bounds(**changes))
+    state.apply_settings(bounds(**changes))
     assert (spend_all(held, 102.0) > 0) is is_more
 
 
@@ -89,5 +89,5 @@
     state = state_lib.State(INSTANCE)
     for _ in range(100):
         state.retry_budget(ROUTE).request(100.0)
-    state.take_settings(bounds(retry_extra=0.0, retry_share=0.0))
+    state.apply_settings(bounds(retry_extra=0.0, retry_share=0.0))
     assert spend_all(state.retry_budget(ROUTE), 100.0) <= 1
--- a/sesamecross/gateway/status.py
+++ b/sesamecross/gateway/status.py
@@ -1,8 +1,8 @@
 """What an instance says of itself over HTTP: readiness and metrics."""
 
 from sesamecross.core import serving
-from sesamecross.gateway import exchange as exchange_lib
-from sesamecross.gateway import front
+from sesamecross.gateway import response_writer as response_writer_lib
+from sesamecross.gateway import server_connection
 from sesamecross.gateway import state as state_lib
 from sesamecross.runtime import metrics as metrics_lib
 
@@ -42,7 +42,7 @@
         return self._state.is_ready and not self.is_stopping
 
     def read_request(
-        self, head: front.Head, body: bytes
+        self, head: server_connection.Head, body: bytes
     ) -> serving.Request | None:
         """Returns the request; headers do not matter here."""
         return serving.Request(
@@ -53,11 +53,13 @@
         """A malformed question is answered and forgotten."""
 
     def handle(
-        self, request: serving.Request, exchange: exchange_lib.Exchange
+        self,
+        request: serving.Request,
+        response_writer: response_writer_lib.ResponseWriter,
     ) -> None:
         """Answers at once."""
         if self._metrics is not None:
             body, _ = self._metrics.render()
-            exchange.whole(200, _TEXT, body)
+            response_writer.whole(200, _TEXT, body)
         else:
-            exchange.whole(200 if self.is_ready else 503, [], b"")
+            response_writer.whole(200 if self.is_ready else 503, [], b"")
--- a/sesamecross/gateway/store_client.py
+++ b/sesamecross/gateway/store_client.py
@@ -6,7 +6,7 @@
 also counts them.
 """
 
-from sesamecross.gateway import whole_call
+from sesamecross.gateway import control_client
 from sesamecross.ports import store
 from sesamecross.runtime import metrics as metrics_lib
 
@@ -35,8 +35,8 @@
     ):
         self._address = address
         self._codec = codec
-        self._caller = whole_call.Caller(address)
-        self._waiting: dict[str, whole_call.Caller] = {}
+        self._caller = control_client.ControlClient(address)
+        self._waiting: dict[str, control_client.ControlClient] = {}
         self._metrics = metrics
 
     async def newest(self, topic: str, after: str) -> store.NewestOutcome:
@@ -44,7 +44,7 @@
         answer = await self._send(
             "newest", self._caller, self._codec.newest(topic, after), CALL_S
         )
-        if isinstance(answer, whole_call.Answer):
+        if isinstance(answer, control_client.Answer):
             return self._codec.newest_answer(answer.status, answer.body)
         return answer
 
@@ -54,7 +54,7 @@
         """Reads on from an offset, waiting for a record to come."""
         caller = self._waiting.get(topic)
         if caller is None:
-            caller = whole_call.Caller(self._address, wait_s + 5.0)
+            caller = control_client.ControlClient(self._address, wait_s + 5.0)
             self._waiting[topic] = caller
         answer = await self._send(
             "read",
@@ -62,7 +62,7 @@
             self._codec.read(topic, offset, wait_s),
             wait_s + WAIT_MARGIN_S,
         )
-        if isinstance(answer, whole_call.Answer):
+        if isinstance(answer, control_client.Answer):
             return self._codec.read_answer(answer.status, answer.body, offset)
         return answer
 
@@ -76,17 +76,17 @@
             self._codec.append(topic, key, value, at),
             CALL_S,
         )
-        if isinstance(answer, whole_call.Answer):
+        if isinstance(answer, control_client.Answer):
             return self._codec.append_answer(answer.status, answer.body)
         return answer
 
     async def _send(
         self,
         what: str,
-        caller: whole_call.Caller,
+        caller: control_client.ControlClient,
         call: store.StoreCall,
         timeout_s: float,
-    ) -> whole_call.Answer | store.NotDone | store.Unknown:
+    ) -> control_client.Answer | store.NotDone | store.Unknown:
         headers = []
         if call.body:
             headers.append((b"content-type", call.content_type))
@@ -99,17 +99,17 @@
             {"call": what, "outcome": _name(outcome)},
         )
         match outcome:
-            case whole_call.NotSent(reason):
+            case control_client.NotSent(reason):
                 return store.NotDone(reason)
-            case whole_call.NoAnswer(reason):
+            case control_client.NoAnswer(reason):
                 return store.Unknown(reason)
         return outcome
 
 
-def _name(outcome: whole_call.Outcome) -> str:
+def _name(outcome: control_client.Outcome) -> str:
     match outcome:
-        case whole_call.Answer(status):
+        case control_client.Answer(status):
             return str(status)
-        case whole_call.NotSent():
+        case control_client.NotSent():
             return "not-sent"
     return "no-answer"
--- a/sesamecross/gateway/sweeper.py
+++ b/sesamecross/gateway/sweeper.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from sesamecross.gateway import pool as pool_lib
+from sesamecross.gateway import connection_pool as connection_pool_lib
 from sesamecross.gateway import state as state_lib
 from sesamecross.runtime import logs
 
@@ -16,11 +16,15 @@
     is_helper = True
     name = "sweeper"
 
-    __slots__ = ("_state", "_pool", "_log")
+    __slots__ = ("_state", "_connection_pool", "_log")
 
-    def __init__(self, state: state_lib.State, pool: pool_lib.Pool):
+    def __init__(
+        self,
+        state: state_lib.State,
+        connection_pool: connection_pool_lib.ConnectionPool,
+    ):
         self._state = state
-        self._pool = pool
+        self._connection_pool = connection_pool
         self._log = logs.part("upstreams")
 
     async def run(self) -> None:
@@ -29,9 +33,9 @@
         while True:
             await asyncio.sleep(EVERY_S)
             now_s = loop.time()
-            self._pool.sweep(now_s)
+            self._connection_pool.sweep(now_s)
             for known in self._state.directory.remove_lapsed(now_s):
-                self._pool.drop(known.entry.address)
+                self._connection_pool.drop(known.entry.address)
                 self._log.info("forgotten", id=known.entry.instance_id)
 
     async def stop(self) -> None:
--- a/sesamecross/platform/program.py
+++ b/sesamecross/platform/program.py
@@ -22,9 +22,9 @@
 METRICS_PORT = 9464
 
 
-def adapter() -> app.Adapter:
+def adapter() -> app.PlatformAdapter:
     """Returns the platform's forms and names."""
-    return app.Adapter(
+    return app.PlatformAdapter(
         store_codec.StoreCodec(),
         dialect.PlatformDialect(),
         store_codec.CONFIGURATION_TOPIC,
