--- a/sesamecross/core/data.py
+++ b/sesamecross/core/data.py
@@ -15,13 +15,13 @@
 import msgspec
 
 Positive = Annotated[int, msgspec.Meta(ge=1)]
-NotNegative = Annotated[int, msgspec.Meta(ge=0)]
+NonNegative = Annotated[int, msgspec.Meta(ge=0)]
 PositiveRate = Annotated[float, msgspec.Meta(gt=0)]
 Weight = Annotated[float, msgspec.Meta(ge=0, le=100)]
 Url = Annotated[str, msgspec.Meta(pattern=r"^http://[0-9.]+:[0-9]+$")]
 KeyDigest = Annotated[str, msgspec.Meta(pattern=r"^sha256:[0-9a-f]{64}$")]
 
-ANY_NAME = "*"
+WILDCARD = "*"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
 
     name: str
     # Callers are told nothing of this; the router adds it as distance.
-    one_way_ms: NotNegative = 30
+    one_way_ms: NonNegative = 30
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -61,8 +61,8 @@
     kind: UpstreamKind
     zone: str
     url: Url
-    memory_mib: NotNegative = 0
-    accelerators: NotNegative = 0
+    memory_mib: NonNegative = 0
+    accelerators: NonNegative = 0
     checks_fencing: bool = False
     concurrency: Positive = 16
 
@@ -77,7 +77,7 @@
     # Calls of a smaller number go first.
     priority: Annotated[int, msgspec.Meta(ge=0, le=9)] = 5
     # A call that may queue waits up to this long before it is refused.
-    queue_ms: NotNegative = 2000
+    queue_ms: NonNegative = 2000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -146,7 +146,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Store:
+class WeightStore:
     """The weight store's limits as its supplier declares them."""
 
     loads_per_second: PositiveRate = 1.0
@@ -155,7 +155,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Weights:
+class PlacementWeights:
     """How much each measure counts when placement is planned."""
 
     attainment: Weight = 1.0
@@ -163,7 +163,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Claims:
+class ClaimLimits:
     """How long and how large the answers to claimed calls are kept."""
 
     remembered: Positive = 10_000
@@ -182,9 +182,9 @@
     adapters: dict[str, Adapter]
     services: dict[str, Service]
     callers: dict[str, Caller]
-    store: Store = Store()
-    weights: Weights = Weights()
-    claims: Claims = Claims()
+    store: WeightStore = WeightStore()
+    weights: PlacementWeights = PlacementWeights()
+    claims: ClaimLimits = ClaimLimits()
 
     def engines(self) -> list[Upstream]:
         """Returns the model engines, sorted by name."""
--- a/sesamecross/core/fleet_messages.py
+++ b/sesamecross/core/fleet_messages.py
@@ -44,7 +44,7 @@
     refused: int = 0
 
 
-class TargetUse(msgspec.Struct, frozen=True, array_like=True):
+class TargetLoad(msgspec.Struct, frozen=True, array_like=True):
     """Requests under way at an engine for one model or adapter."""
 
     upstream: str
@@ -75,7 +75,7 @@
     read_s: float = 0.0
 
 
-class Failing(msgspec.Struct, frozen=True, array_like=True):
+class UpstreamOutcomes(msgspec.Struct, frozen=True, array_like=True):
     """Recent outcomes at an upstream, faded: failures, and all of them."""
 
     upstream: str
@@ -101,7 +101,7 @@
     upstreams: int
 
 
-class LeaseNews(msgspec.Struct, frozen=True, array_like=True):
+class LeaseAnnouncement(msgspec.Struct, frozen=True, array_like=True):
     """Who gives orders to engines, as its holder says.
 
     Attributes:
@@ -123,10 +123,10 @@
     me: Member
     number: int
     loads: list[UpstreamLoad] = []
-    uses: list[TargetUse] = []
+    uses: list[TargetLoad] = []
     demand: list[TargetDemand] = []
-    failing: list[Failing] = []
-    lease: LeaseNews | None = None
+    failing: list[UpstreamOutcomes] = []
+    lease: LeaseAnnouncement | None = None
 
 
 class Summary(
@@ -138,10 +138,10 @@
     number: int
     members: list[Member] = []
     loads: list[UpstreamLoad] = []
-    uses: list[TargetUse] = []
+    uses: list[TargetLoad] = []
     demand: list[TargetDemand] = []
-    failing: list[Failing] = []
-    lease: LeaseNews | None = None
+    failing: list[UpstreamOutcomes] = []
+    lease: LeaseAnnouncement | None = None
 
 
 class View(msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=3):
@@ -156,13 +156,13 @@
     taken: dict[str, int]
     members: list[Member] = []
     loads: list[UpstreamLoad] = []
-    uses: list[TargetUse] = []
+    uses: list[TargetLoad] = []
     demand: list[TargetDemand] = []
-    failing: list[Failing] = []
-    lease: LeaseNews | None = None
+    failing: list[UpstreamOutcomes] = []
+    lease: LeaseAnnouncement | None = None
 
 
-class EnginePlace(msgspec.Struct, frozen=True, array_like=True):
+class EnginePlacement(msgspec.Struct, frozen=True, array_like=True):
     """What an engine holds by the word of the lease's holder.
 
     Attributes:
@@ -190,10 +190,12 @@
     me: Member
     number: int
     fence: int
-    engines: list[EnginePlace]
+    engines: list[EnginePlacement]
 
 
-class Want(msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=5):
+class PlacementRequest(
+    msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=5
+):
     """A request waits for a target, to the lease's holder.
 
     Attributes:
@@ -207,7 +209,9 @@
     upstream: str
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=6):
+class AdmissionRequest(
+    msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=6
+):
     """May a prompt be sent to an engine now? To who paces the engine.
 
     Attributes:
@@ -224,7 +228,7 @@
     patience_s: float
 
 
-class Verdict(enum.IntEnum):
+class AdmissionDecision(enum.IntEnum):
     """What is said of an ask.
 
     Attributes:
@@ -237,10 +241,12 @@
     WAIT = 0
     SEND = 1
     REFUSE = 2
-    LEAVE = 3
+    LEAVING = 3
 
 
-class Grant(msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=7):
+class AdmissionReply(
+    msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=7
+):
     """The answer to an ask.
 
     Attributes:
@@ -249,11 +255,13 @@
 
     me: Member
     number: int
-    verdict: Verdict
+    verdict: AdmissionDecision
     after_s: float = 0.0
 
 
-class Read(msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=8):
+class AdmissionRelease(
+    msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=8
+):
     """A prompt was read, or will not be sent."""
 
     me: Member
@@ -261,7 +269,7 @@
     upstream: str
 
 
-class Released(
+class LeaseRelease(
     msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=9
 ):
     """The holder gave the lease back: to those who may take it next.
@@ -271,11 +279,19 @@
 
     me: Member
     number: int
-    lease: LeaseNews
+    lease: LeaseAnnouncement
 
 
 Message = (
-    Report | Summary | View | Placement | Want | Ask | Grant | Read | Released
+    Report
+    | Summary
+    | View
+    | Placement
+    | PlacementRequest
+    | AdmissionRequest
+    | AdmissionReply
+    | AdmissionRelease
+    | LeaseRelease
 )
 
 _encoder = msgspec.msgpack.Encoder()
--- a/sesamecross/core/fleet_messages_test.py
+++ b/sesamecross/core/fleet_messages_test.py
@@ -26,7 +26,9 @@
 def test_a_message_that_unpacks_to_too_much_is_none():
     """Guards against a small datagram that fills the memory."""
     name = "a" * (2 * fm.MOST_BYTES)
-    assert fm.decode(fm.encode(fm.Want(ME, 1, name, "", ""))) is None
+    assert (
+        fm.decode(fm.encode(fm.PlacementRequest(ME, 1, name, "", ""))) is None
+    )
 
 
 @settings(max_examples=500, deadline=None, derandomize=True)
--- a/sesamecross/core/group_messages.py
+++ b/sesamecross/core/group_messages.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeptClaim:
+class ReplicatedClaim:
     """A claim that a participant keeps beside the log.
 
     Attributes:
@@ -47,7 +47,7 @@
     claim_id: str
     sender: data.Incarnation
     granted: bool
-    known: KeptClaim | None
+    known: ReplicatedClaim | None
     dark: bool
 
 
@@ -81,7 +81,7 @@
     sender: data.Incarnation
     next_offset: int
     active_epoch: int
-    kept: tuple[KeptClaim, ...]
+    kept: tuple[ReplicatedClaim, ...]
     in_contact: tuple[data.Incarnation, ...]
     doubt: bool = False
 
--- a/sesamecross/core/hlc.py
+++ b/sesamecross/core/hlc.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
-class Stamp:
+class Timestamp:
     """A point in the order of events."""
 
     wall_ms: int
@@ -31,18 +31,18 @@
 
     def __init__(self, clock: clock_lib.Clock):
         self._clock = clock
-        self._last = Stamp(0, 0)
+        self._last = Timestamp(0, 0)
 
-    def now(self) -> Stamp:
+    def now(self) -> Timestamp:
         """Returns a stamp that exceeds all handed out or received."""
         wall = self._clock.wall_ms()
         if wall > self._last.wall_ms:
-            self._last = Stamp(wall, 0)
+            self._last = Timestamp(wall, 0)
         else:
-            self._last = Stamp(self._last.wall_ms, self._last.count + 1)
+            self._last = Timestamp(self._last.wall_ms, self._last.count + 1)
         return self._last
 
-    def receive(self, stamp: Stamp) -> None:
+    def receive(self, stamp: Timestamp) -> None:
         """Makes all later stamps exceed `stamp`, unless it is absurd."""
         if stamp.wall_ms > self._clock.wall_ms() + MAX_AHEAD_MS:
             return
--- a/sesamecross/core/hlc_test.py
+++ b/sesamecross/core/hlc_test.py
@@ -25,5 +25,5 @@
 
 def test_absurd_stamp_is_not_believed():
     one = hlc.HybridClock(clock.ManualClock(1_000))
-    one.receive(hlc.Stamp(1_000 + hlc.MAX_AHEAD_MS + 1, 0))
-    assert one.now() == hlc.Stamp(1_000, 0)
+    one.receive(hlc.Timestamp(1_000 + hlc.MAX_AHEAD_MS + 1, 0))
+    assert one.now() == hlc.Timestamp(1_000, 0)
--- a/sesamecross/core/serving.py
+++ b/sesamecross/core/serving.py
@@ -25,7 +25,7 @@
     """
 
     IDEMPOTENT = "idempotent"
-    ONCE = "once"
+    AT_MOST_ONCE = "once"
     STREAM = "stream"
 
 
@@ -69,7 +69,7 @@
     is_model_call: bool
 
     @property
-    def may_repeat(self) -> bool:
+    def is_retry_safe(self) -> bool:
         """Whether a request that may have run may be sent again."""
         if self.kind is RouteKind.STREAM:
             return self.is_resumable
@@ -77,7 +77,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ServedModel:
+class ModelSpec:
     """A model that the engines of a service can load.
 
     Attributes:
@@ -114,7 +114,7 @@
     adapter_slots: int
     store_loads_per_s: float
     tokens_per_event: int
-    models: Mapping[str, ServedModel]
+    models: Mapping[str, ModelSpec]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -153,7 +153,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeldModel:
+class ResidentModel:
     """A model in an engine's memory, with its adapters."""
 
     name: str
@@ -187,9 +187,9 @@
     slots: int
     is_leaving: bool
     born_ms: int
-    models: tuple[HeldModel, ...] = ()
+    models: tuple[ResidentModel, ...] = ()
     copies: WeightCopies = WeightCopies()
-    leaves_in_s: float | None = None
+    remaining_s: float | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -209,8 +209,8 @@
     born_ms: int
     orders: int
     is_busy: bool
-    models: tuple[HeldModel, ...]
-    arriving_adapters: frozenset[str]
+    models: tuple[ResidentModel, ...]
+    loading_adapters: frozenset[str]
     copies: WeightCopies
     queued: int
     running: int
@@ -350,7 +350,7 @@
     loads: bool
     model: str
     adapter: str
-    after_orders: int
+    expected_order_count: int
     holder: str
     fence: int
 
@@ -370,9 +370,9 @@
     """
 
     ACCEPTED = "accepted"
-    ALREADY = "already"
+    ALREADY_DONE = "already"
     CONFLICT = "conflict"
     FENCED = "fenced"
-    OTHER_LIFE = "other-life"
+    OTHER_INCARNATION = "other-life"
     REFUSED = "refused"
     UNKNOWN = "unknown"
--- a/sesamecross/entry/http_app.py
+++ b/sesamecross/entry/http_app.py
@@ -441,7 +441,7 @@
     ) -> list[bytes]:
         name = match.group(1)
         service = known.declarations.services.get(name)
-        allowed = data.ANY_NAME in caller.services or name in caller.services
+        allowed = data.WILDCARD in caller.services or name in caller.services
         if service is None or not allowed:
             answer = refusal.forbidden(f"Service {name}")
             return self._refuse(request, answer, start_response)
--- a/sesamecross/entry/model_request.py
+++ b/sesamecross/entry/model_request.py
@@ -133,7 +133,7 @@
 
 def may_use(caller: data.Caller, name: str) -> bool:
     """Tells whether a caller may use a model or adapter."""
-    return data.ANY_NAME in caller.models or name in caller.models
+    return data.WILDCARD in caller.models or name in caller.models
 
 
 def _model_of(
--- a/sesamecross/entry/steward_link.py
+++ b/sesamecross/entry/steward_link.py
@@ -62,7 +62,7 @@
         while True:
             try:
                 await self._session()
-            except streams.StreamClosed as error:
+            except streams.StreamClosedError as error:
                 self._logger.debug("no stream", reason=str(error))
             self._drop()
             await asyncio.sleep(RECONNECT_S)
@@ -177,7 +177,7 @@
             )
             try:
                 await stream.send(report)
-            except streams.StreamClosed:
+            except streams.StreamClosedError:
                 return
 
     # -- called from threads ---------------------------------------------
@@ -217,7 +217,7 @@
         try:
             await stream.send(message)
             return await asyncio.wait_for(future, REPLY_S)
-        except (streams.StreamClosed, TimeoutError):
+        except (streams.StreamClosedError, TimeoutError):
             return None
         finally:
             self._replies.pop(message.request_id, None)
--- a/sesamecross/entry/steward_link_test.py
+++ b/sesamecross/entry/steward_link_test.py
@@ -34,7 +34,7 @@
                         self.confirmed.append(message.settled)
                     ok = self._asked > 1
                     await stream.send(messages.Done(message.request_id, ok))
-        except streams.StreamClosed:
+        except streams.StreamClosedError:
             writer.close()
 
 
--- a/sesamecross/fakes/engine_holdings.py
+++ b/sesamecross/fakes/engine_holdings.py
@@ -103,21 +103,21 @@
 
     def _load(self, model: str) -> serving.OrderAnswer:
         if model in self.models:
-            return serving.OrderAnswer.ALREADY
+            return serving.OrderAnswer.ALREADY_DONE
         self.orders += 1
         self.loading = model
         return serving.OrderAnswer.ACCEPTED
 
     def _unload(self, model: str) -> serving.OrderAnswer:
         if model not in self.models:
-            return serving.OrderAnswer.ALREADY
+            return serving.OrderAnswer.ALREADY_DONE
         self.orders += 1
         self.unloading = model
         return serving.OrderAnswer.ACCEPTED
 
     def _load_adapter(self, target: str) -> serving.OrderAnswer:
         if target in self.adapters | self.arriving:
-            return serving.OrderAnswer.ALREADY
+            return serving.OrderAnswer.ALREADY_DONE
         if target.partition("/")[0] not in self.models:
             return serving.OrderAnswer.REFUSED
         self.orders += 1
@@ -126,13 +126,13 @@
 
     def _unload_adapter(self, target: str) -> serving.OrderAnswer:
         if target not in self.adapters or target in self.departing:
-            return serving.OrderAnswer.ALREADY
+            return serving.OrderAnswer.ALREADY_DONE
         self.orders += 1
         if self._uses.get(target):
             self.departing.add(target)
             return serving.OrderAnswer.ACCEPTED
         self.adapters.discard(target)
-        return serving.OrderAnswer.ALREADY
+        return serving.OrderAnswer.ALREADY_DONE
 
     def _check(self) -> None:
         held = self.models | ({self.loading} if self.loading else set())
@@ -184,10 +184,10 @@
 
     # -- what it says of itself ------------------------------------------
 
-    def held(self) -> tuple[serving.HeldModel, ...]:
+    def held(self) -> tuple[serving.ResidentModel, ...]:
         """Returns what it lists, whether or not it departs."""
         return tuple(
-            serving.HeldModel(
+            serving.ResidentModel(
                 name,
                 frozenset(
                     one.partition("/")[2]
--- a/sesamecross/fakes/engine_holdings_test.py
+++ b/sesamecross/fakes/engine_holdings_test.py
@@ -7,7 +7,7 @@
 
 ROOM = lib.Room({"m": 40.0, "n": 40.0, "o": 40.0}, 82.0, 1.0, 2)
 ACCEPTED = serving.OrderAnswer.ACCEPTED
-ALREADY = serving.OrderAnswer.ALREADY
+ALREADY_DONE = serving.OrderAnswer.ALREADY_DONE
 CONFLICT = serving.OrderAnswer.CONFLICT
 REFUSED = serving.OrderAnswer.REFUSED
 
@@ -22,15 +22,15 @@
 
 # An order, whether the adapter is in use, the answer and whether it counts.
 ORDERS = [
-    pytest.param(False, "m/a1", False, ALREADY, 1, id="idle adapter goes"),
+    pytest.param(False, "m/a1", False, ALREADY_DONE, 1, id="idle adapter goes"),
     pytest.param(False, "m/a1", True, ACCEPTED, 1, id="used adapter departs"),
-    pytest.param(False, "m/a2", False, ALREADY, 0, id="adapter not held"),
-    pytest.param(True, "m/a1", False, ALREADY, 0, id="adapter held"),
+    pytest.param(False, "m/a2", False, ALREADY_DONE, 0, id="adapter not held"),
+    pytest.param(True, "m/a1", False, ALREADY_DONE, 0, id="adapter held"),
     pytest.param(True, "m/a2", False, ACCEPTED, 1, id="another adapter"),
     pytest.param(True, "n/a1", False, REFUSED, 0, id="adapter without model"),
-    pytest.param(True, "m", False, ALREADY, 0, id="model held"),
+    pytest.param(True, "m", False, ALREADY_DONE, 0, id="model held"),
     pytest.param(True, "n", False, ACCEPTED, 1, id="another model"),
-    pytest.param(False, "n", False, ALREADY, 0, id="model not held"),
+    pytest.param(False, "n", False, ALREADY_DONE, 0, id="model not held"),
     pytest.param(False, "m", False, ACCEPTED, 1, id="model unloaded"),
 ]
 
@@ -53,12 +53,12 @@
     one.begin_use("m/a1")
     one.apply(lib.Order(False, "m/a1", None))
     before = one.orders
-    assert one.apply(lib.Order(False, "m/a1", None)) is ALREADY
+    assert one.apply(lib.Order(False, "m/a1", None)) is ALREADY_DONE
     assert one.orders == before
-    assert one.held() == (serving.HeldModel("m", frozenset({"a1"})),)
+    assert one.held() == (serving.ResidentModel("m", frozenset({"a1"})),)
     assert not one.answers("m/a1")
     one.end_use("m/a1")
-    assert one.held() == (serving.HeldModel("m"),)
+    assert one.held() == (serving.ResidentModel("m"),)
 
 
 def test_orders_for_another_count_or_beside_one_under_way_are_refused():
--- a/sesamecross/fakes/order_desk_player.py
+++ b/sesamecross/fakes/order_desk_player.py
@@ -42,7 +42,7 @@
     4.0,
     5,
     {
-        name: serving.ServedModel(
+        name: serving.ModelSpec(
             name, MODEL_MB, LOAD_S, LOAD_S, LOAD_S, ADAPTERS, ADAPTER_MB
         )
         for name in MODELS
@@ -169,7 +169,9 @@
     async def order(self, order: serving.EngineOrder) -> serving.OrderAnswer:
         """Lets an order arrive, late, twice or not at all."""
         target = f"{order.model}/{order.adapter}".rstrip("/")
-        sent = engine_holdings.Order(order.loads, target, order.after_orders)
+        sent = engine_holdings.Order(
+            order.loads, target, order.expected_order_count
+        )
         fate = self.fates.popleft() if self.fates else Fate.ANSWERED
         if fate is Fate.LATE:
             self.late.append(sent)
--- a/sesamecross/fakes/placement_samples.py
+++ b/sesamecross/fakes/placement_samples.py
@@ -13,7 +13,7 @@
 def spec(sizes=None) -> serving.EngineSpec:
     """Returns engines with room for two of the models."""
     models = {
-        name: serving.ServedModel(name, size, LOAD_S, 0.5, 0.3, 0, 1.0)
+        name: serving.ModelSpec(name, size, LOAD_S, 0.5, 0.3, 0, 1.0)
         for name, size in (sizes or SIZES).items()
     }
     return serving.EngineSpec(64, 100_000, ROOM_MB, 8, 2.0, 6, models)
--- a/sesamecross/fakes/platform_upstream.py
+++ b/sesamecross/fakes/platform_upstream.py
@@ -35,7 +35,7 @@
 )
 _STATUS = {
     serving.OrderAnswer.ACCEPTED: 202,
-    serving.OrderAnswer.ALREADY: 200,
+    serving.OrderAnswer.ALREADY_DONE: 200,
     serving.OrderAnswer.CONFLICT: 409,
     serving.OrderAnswer.REFUSED: 400,
 }
--- a/sesamecross/gateway/app.py
+++ b/sesamecross/gateway/app.py
@@ -30,7 +30,7 @@
 from sesamecross.ops.fleet import reachability
 from sesamecross.ops.fleet import stopping
 from sesamecross.ops.fleet import store_polling
-from sesamecross.ports import dialect as dialect_lib
+from sesamecross.ports import http_codec as http_codec_lib
 from sesamecross.ports import store
 from sesamecross.runtime import logs
 from sesamecross.runtime import metrics as metrics_lib
@@ -63,7 +63,7 @@
     """
 
     store_codec: store.StoreCodec
-    dialect: dialect_lib.Dialect
+    http_codec: http_codec_lib.HttpCodec
     configuration_topic: str
     configuration_key: str
     upstreams_topic: str
@@ -116,7 +116,7 @@
         self.connection_pool = connection_pool_lib.ConnectionPool()
         self.forwarder = forwarder_lib.Forwarder(
             self.state,
-            adapter.dialect,
+            adapter.http_codec,
             self.connection_pool,
             self._rng,
             self.metrics,
@@ -161,7 +161,7 @@
             self.mesh,
             lambda: self.state.bounds.lease_s,
         )
-        engines = engine_client.EngineClient(adapter.dialect, self.metrics)
+        engines = engine_client.EngineClient(adapter.http_codec, self.metrics)
         orders = order_desk.OrderDesk(
             self.state, self.mesh, self.lease, engines, self.metrics
         )
@@ -228,7 +228,7 @@
             outcomes = known.health.outcomes(now_s)
             if known.failing(now_s) >= FAILING_LEAST:
                 failing.append(
-                    fm.Failing(
+                    fm.UpstreamOutcomes(
                         name,
                         round(outcomes.failed, 1),
                         round(outcomes.total, 1),
--- a/sesamecross/gateway/app_test.py
+++ b/sesamecross/gateway/app_test.py
@@ -69,7 +69,7 @@
 CONFIGURATION = serving.Configuration(
     1,
     (
-        route("once", serving.RouteKind.ONCE),
+        route("once", serving.RouteKind.AT_MOST_ONCE),
         route("plain", serving.RouteKind.IDEMPOTENT),
         route("stream", serving.RouteKind.STREAM),
         dataclasses.replace(
--- a/sesamecross/gateway/attempt.py
+++ b/sesamecross/gateway/attempt.py
@@ -13,7 +13,7 @@
 from sesamecross.core import serving
 from sesamecross.gateway import event_relay
 from sesamecross.ops.fleet import retry_policy
-from sesamecross.ports import dialect as dialect_lib
+from sesamecross.ports import http_codec as http_codec_lib
 
 # An answer that is held whole; services answer with kilobytes.
 ANSWER_MOST_BYTES = 8 * 1024 * 1024
@@ -41,7 +41,7 @@
 
     __slots__ = (
         "ended",
-        "_dialect",
+        "_http_codec",
         "_request_id",
         "_instance_id",
         "_relay",
@@ -59,24 +59,24 @@
         request_id: str,
         instance_id: str,
         relay: event_relay.EventRelay | None,
-        dialect: dialect_lib.Dialect,
+        http_codec: http_codec_lib.HttpCodec,
     ):
-        self._dialect = dialect
+        self._http_codec = http_codec
         self.ended: asyncio.Future[Outcome] = loop.create_future()
         self._request_id = request_id
         self._instance_id = instance_id
         self._relay = relay
         self._status = 0
         self._headers: tuple[serving.Header, ...] = ()
-        self._said: dialect_lib.AnswerHead | None = None
+        self._said: http_codec_lib.ResponseHead | None = None
         self._pieces: list[bytes] = []
         self._size = 0
         self._is_stream = False
 
     def on_head(self, status: int, headers: list[serving.Header]) -> bool:
         """Takes the head, unless it belongs to another request."""
-        said = self._dialect.answer_head(status, headers)
-        is_nameless = not said.request_id and said.was_not_run
+        said = self._http_codec.parse_response_head(status, headers)
+        is_nameless = not said.request_id and said.was_not_executed
         if said.request_id != self._request_id and not is_nameless:
             return False
         self._status = status
@@ -118,7 +118,7 @@
 
     def _whole(self) -> Outcome:
         said = self._said
-        if said.was_not_run:
+        if said.was_not_executed:
             is_here = said.instance_id in ("", self._instance_id)
             return retry_policy.NotRun(
                 self._status,
--- a/sesamecross/gateway/catalog_test.py
+++ b/sesamecross/gateway/catalog_test.py
@@ -59,7 +59,7 @@
         self.done = asyncio.Event()
 
     async def newest(self, topic, after):
-        return store.Newest((), False, 0)
+        return store.NewestPage((), False, 0)
 
     async def read(self, topic, offset, wait_s):
         self.reads += 1
--- a/sesamecross/gateway/engine_client.py
+++ b/sesamecross/gateway/engine_client.py
@@ -2,7 +2,7 @@
 
 from sesamecross.core import serving
 from sesamecross.gateway import control_client
-from sesamecross.ports import dialect as dialect_lib
+from sesamecross.ports import http_codec as http_codec_lib
 from sesamecross.runtime import metrics as metrics_lib
 
 # An engine answers within the round trip between regions, or twice that on a
@@ -14,12 +14,12 @@
 class EngineClient:
     """Calls engines over kept connections."""
 
-    __slots__ = ("_dialect", "_metrics", "_callers")
+    __slots__ = ("_http_codec", "_metrics", "_callers")
 
     def __init__(
-        self, dialect: dialect_lib.Dialect, metrics: metrics_lib.Metrics
+        self, http_codec: http_codec_lib.HttpCodec, metrics: metrics_lib.Metrics
     ):
-        self._dialect = dialect
+        self._http_codec = http_codec
         self._metrics = metrics
         self._callers: dict[str, control_client.ControlClient] = {}
 
@@ -27,7 +27,7 @@
         self, upstream: serving.Upstream
     ) -> serving.EngineReport | None:
         """Asks an engine for its state; None where it gave no answer."""
-        call = self._dialect.report_call(upstream.instance_id)
+        call = self._http_codec.report_call(upstream.instance_id)
         outcome = await self._call(upstream.address, call)
         self._count("report", outcome)
         if (
@@ -35,22 +35,22 @@
             or outcome.status != 200
         ):
             return None
-        return self._dialect.report(outcome.body)
+        return self._http_codec.report(outcome.body)
 
     async def order(self, order: serving.EngineOrder) -> serving.OrderAnswer:
         """Gives an engine an order."""
-        call = self._dialect.order_call(order)
+        call = self._http_codec.order_call(order)
         outcome = await self._call(order.address, call)
         self._count("order", outcome)
         match outcome:
             case control_client.Answer(status):
-                return self._dialect.order_answer(status)
+                return self._http_codec.parse_order_answer(status)
             case control_client.NotSent():
                 return serving.OrderAnswer.REFUSED
         return serving.OrderAnswer.UNKNOWN
 
     async def _call(
-        self, address: str, call: dialect_lib.ControlCall
+        self, address: str, call: http_codec_lib.ControlCall
     ) -> control_client.Outcome:
         caller = self._callers.get(address)
         if caller is None:
--- a/sesamecross/gateway/follower.py
+++ b/sesamecross/gateway/follower.py
@@ -133,7 +133,7 @@
         keys: set[str] = set()
         while True:
             outcome = await self._client.newest(self._topic, after)
-            if not isinstance(outcome, store.Newest):
+            if not isinstance(outcome, store.NewestPage):
                 self._note(False, outcome)
                 return False
             if start is None:
--- a/sesamecross/gateway/follower_test.py
+++ b/sesamecross/gateway/follower_test.py
@@ -88,7 +88,7 @@
         page = [key for key in live if key > after][:2]
         has_more = bool(page) and page[-1] != live[-1]
         records = tuple(self.newest_of[key] for key in page)
-        return store.Newest(records, has_more, len(self.log))
+        return store.NewestPage(records, has_more, len(self.log))
 
     async def read(self, topic, offset, wait_s):
         fate = self._step()
--- a/sesamecross/gateway/forwarder.py
+++ b/sesamecross/gateway/forwarder.py
@@ -25,7 +25,7 @@
 from sesamecross.ops.fleet import service_choice
 from sesamecross.ops.fleet import stopping
 from sesamecross.ops.fleet import target_uses
-from sesamecross.ports import dialect as dialect_lib
+from sesamecross.ports import http_codec as http_codec_lib
 from sesamecross.runtime import logs
 from sesamecross.runtime import metrics as metrics_lib
 
@@ -40,7 +40,7 @@
 
     __slots__ = (
         "_state",
-        "_dialect",
+        "_http_codec",
         "_connection_pool",
         "_rng",
         "_metrics",
@@ -54,13 +54,13 @@
     def __init__(
         self,
         state: state_lib.State,
-        dialect: dialect_lib.Dialect,
+        http_codec: http_codec_lib.HttpCodec,
         connection_pool: connection_pool_lib.ConnectionPool,
         rng: random.Random,
         metrics: metrics_lib.Metrics,
     ):
         self._state = state
-        self._dialect = dialect
+        self._http_codec = http_codec
         self._connection_pool = connection_pool
         self._rng = rng
         self._metrics = metrics
@@ -100,7 +100,7 @@
         self, head: server_connection.Head, body: bytes
     ) -> serving.Request | None:
         """Returns the request that a head and a body make."""
-        said = self._dialect.caller_head(head.headers)
+        said = self._http_codec.parse_request_head(head.headers)
         host = next(v for n, v in head.headers if n == b"host")
         return serving.Request(
             head.method,
@@ -225,7 +225,7 @@
         # half done, and nobody else will do the other half.
         is_once = (
             self._route is not None
-            and self._route.kind is serving.RouteKind.ONCE
+            and self._route.kind is serving.RouteKind.AT_MOST_ONCE
             and self._connection is not None
         )
         if not is_once and self.task is not None:
@@ -242,7 +242,7 @@
     # -- answers of our own --------------------------------------------
 
     def _refuse(self, retry_after_s: float) -> str:
-        headers = self._owner._dialect.refusal(
+        headers = self._owner._http_codec.refusal(
             self._request.request_id, retry_after_s
         )
         self._response_writer.whole(503, headers, b"")
@@ -252,7 +252,9 @@
         if self._response_writer.is_begun:
             self._response_writer.cut()
             return "cut"
-        headers = self._owner._dialect.refusal(self._request.request_id, None)
+        headers = self._owner._http_codec.refusal(
+            self._request.request_id, None
+        )
         self._response_writer.whole(status, headers, b"")
         return f"status {status}"
 
@@ -383,14 +385,14 @@
         """Whether another upstream may be asked instead of this answer."""
         return (
             whole.status >= 500
-            and self._route.may_repeat
+            and self._route.is_retry_safe
             and not self._progress.has_output
         )
 
     def _deliver(self, whole: attempt_lib.CompleteResponse) -> str:
         if self._response_writer.is_begun:
             return self._fail(502)
-        headers = self._owner._dialect.to_caller(whole.headers)
+        headers = self._owner._http_codec.caller_response_headers(whole.headers)
         self._response_writer.whole(whole.status, headers, whole.body)
         return f"status {whole.status}"
 
@@ -476,15 +478,17 @@
             request.request_id,
             entry.instance_id,
             self._relay,
-            self._owner._dialect,
+            self._owner._http_codec,
         )
-        passing = dialect_lib.Passing(
+        passing = http_codec_lib.ForwardContext(
             entry.instance_id,
             left_s,
             self._route.urgency if self._route.is_model_call else None,
             self._relay.last_id if self._relay else "",
         )
-        headers = self._owner._dialect.to_upstream(request, passing)
+        headers = self._owner._http_codec.upstream_request_headers(
+            request, passing
+        )
         self._connection = connection
         self._progress.sends += 1
         self._progress.possibly_ran_at.add(entry.instance_id)
--- a/sesamecross/gateway/lease_keeper.py
+++ b/sesamecross/gateway/lease_keeper.py
@@ -156,7 +156,7 @@
             return outcome
         # Mostly a renewal of its own, whose answer had not come.
         newest = await self._client.newest(self._topic, "")
-        if not isinstance(newest, store.Newest):
+        if not isinstance(newest, store.NewestPage):
             return outcome
         found = _lease_in(newest)
         if found is None or found.is_released:
@@ -232,7 +232,7 @@
 
     async def _look(self) -> None:
         outcome = await self._proxy.newest(self._topic)
-        if not isinstance(outcome, store.Newest):
+        if not isinstance(outcome, store.NewestPage):
             return
         self.machine.read(_lease_in(outcome), outcome.end, suspended_clock())
 
@@ -259,7 +259,7 @@
             )
         if holds:
             me = self._mesh.roster.me
-            news = fm.LeaseNews(
+            news = fm.LeaseAnnouncement(
                 me.name,
                 me.incarnation,
                 self.machine.fence,
@@ -268,7 +268,7 @@
             self._mesh.note_lease(news, asyncio.get_running_loop().time())
 
 
-def _lease_in(newest: store.Newest) -> lease_lib.Record | None:
+def _lease_in(newest: store.NewestPage) -> lease_lib.Record | None:
     record = None
     for one in newest.records:
         if one.key == LEASE_KEY and one.value is not None:
--- a/sesamecross/gateway/lease_keeper_test.py
+++ b/sesamecross/gateway/lease_keeper_test.py
@@ -121,13 +121,13 @@
         )
         return store.Appended(len(self.writes) - 1)
 
-    async def newest(self, *_) -> store.Newest:
+    async def newest(self, *_) -> store.NewestPage:
         records = ()
         if self.writes:
             value = msgspec.msgpack.encode(self.writes[-1])
             at = len(self.writes) - 1
             records = (store.KeyedRecord(lease_keeper.LEASE_KEY, value, at),)
-        return store.Newest(records, False, len(self.writes))
+        return store.NewestPage(records, False, len(self.writes))
 
     async def append(
         self, topic: str, key: str, value: bytes, at: int | None
--- a/sesamecross/gateway/mesh.py
+++ b/sesamecross/gateway/mesh.py
@@ -141,7 +141,7 @@
         self._called_s = 0.0
         self._placed = (-1, -1, -1)
         self._listeners: list[MessageListener] = []
-        self.lease: fm.LeaseNews | None = None
+        self.lease: fm.LeaseAnnouncement | None = None
         self.lease_heard_s = 0.0
         self.bytes_sent = 0
 
@@ -360,7 +360,7 @@
                 plans = orders_from in (None, zone)
                 self.send(whole if plans else short, self.roster.get(hub))
 
-    def _zone_of_holder(self, lease: fm.LeaseNews | None) -> str | None:
+    def _zone_of_holder(self, lease: fm.LeaseAnnouncement | None) -> str | None:
         """Returns where orders come from, or None if that isn't known."""
         if lease is None:
             return None
@@ -433,18 +433,18 @@
                 listed[member.name] = member
         return [listed[name] for name in sorted(listed)]
 
-    def _lease_news(self, now_s: float) -> fm.LeaseNews | None:
+    def _lease_news(self, now_s: float) -> fm.LeaseAnnouncement | None:
         lease = self.lease
         if lease is None:
             return None
         left_s = max(0.0, lease.left_s - (now_s - self.lease_heard_s))
         if lease.left_s < 0:
             left_s = RELEASED_S
-        return fm.LeaseNews(
+        return fm.LeaseAnnouncement(
             lease.holder, lease.incarnation, lease.fence, left_s
         )
 
-    def own_lease(self, now_s: float) -> fm.LeaseNews | None:
+    def own_lease(self, now_s: float) -> fm.LeaseAnnouncement | None:
         """Returns the lease as this instance knows it."""
         return self._lease_news(now_s)
 
@@ -460,15 +460,15 @@
         lease = self.lease
         if lease is None or lease.holder != self.roster.me.name:
             return
-        released = fm.LeaseNews(
+        released = fm.LeaseAnnouncement(
             lease.holder, lease.incarnation, lease.fence, RELEASED_S
         )
         self.note_lease(released, now_s)
-        message = fm.Released(self.me, self.next_number(), released)
+        message = fm.LeaseRelease(self.me, self.next_number(), released)
         for member in members:
             self.send(message, member)
 
-    def note_lease(self, lease: fm.LeaseNews, now_s: float) -> None:
+    def note_lease(self, lease: fm.LeaseAnnouncement, now_s: float) -> None:
         """Takes in news of the lease, if they are newer."""
         known = self.lease
         if known is not None and lease.fence <= known.fence:
@@ -517,9 +517,14 @@
                 if self._is_hub(now_s):
                     self._pass_on(data, message.me.name, now_s)
                 self._tell_listeners(message)
-            case fm.Released(lease=lease):
+            case fm.LeaseRelease(lease=lease):
                 self._hear_lease(lease, now_s)
-            case fm.Want() | fm.Ask() | fm.Grant() | fm.Read():
+            case (
+                fm.PlacementRequest()
+                | fm.AdmissionRequest()
+                | fm.AdmissionReply()
+                | fm.AdmissionRelease()
+            ):
                 self._tell_listeners(message)
 
     def _is_new_placement(self, message: fm.Placement) -> bool:
@@ -540,7 +545,9 @@
         for listener in self._listeners:
             listener(message)
 
-    def _hear_lease(self, lease: fm.LeaseNews | None, now_s: float) -> None:
+    def _hear_lease(
+        self, lease: fm.LeaseAnnouncement | None, now_s: float
+    ) -> None:
         if lease is not None:
             self.note_lease(lease, now_s)
 
--- a/sesamecross/gateway/order_books.py
+++ b/sesamecross/gateway/order_books.py
@@ -282,7 +282,7 @@
                 if not loads:
                     book.ask_s = now_s + UNLOAD_S
                     book.look_s = now_s + DEPARTING_S
-            case serving.OrderAnswer.ALREADY:
+            case serving.OrderAnswer.ALREADY_DONE:
                 book.conflicts = 0
                 inventory.order_already_done(loads, step.target, now_s)
                 if not inventory.is_fully_known:
@@ -293,7 +293,7 @@
                 # was carried out after all.
                 book.conflicts += 1
                 book.ask_s = now_s + ASK_AGAIN_S / 2
-            case serving.OrderAnswer.OTHER_LIFE:
+            case serving.OrderAnswer.OTHER_INCARNATION:
                 self._state.directory.replaced(step.instance_id)
             case serving.OrderAnswer.UNKNOWN:
                 # It may be carried out at any time. Until then the books are
--- a/sesamecross/gateway/order_desk.py
+++ b/sesamecross/gateway/order_desk.py
@@ -156,13 +156,15 @@
             if self._said.is_due(what, now_s):
                 number = self._mesh.next_number()
                 self._mesh.send(
-                    fm.Want(self._mesh.me, number, service, target, upstream),
+                    fm.PlacementRequest(
+                        self._mesh.me, number, service, target, upstream
+                    ),
                     holder,
                 )
 
     def _on_message(self, message: fm.Message) -> None:
         match message:
-            case fm.Want(me=me, service=service, target=target):
+            case fm.PlacementRequest(me=me, service=service, target=target):
                 if self._lease.holds:
                     self._teller.waits(target, me.name)
                     self._note_want(service, target, message.upstream)
@@ -512,7 +514,7 @@
             target=step.target,
             why=step.reason,
             from_store=step.from_store,
-            after=order.after_orders,
+            after=order.expected_order_count,
             fence=order.fence,
             answer=answer.value,
             ms=round((now_s - sent_s) * 1000),
--- a/sesamecross/gateway/order_desk_ends_test.py
+++ b/sesamecross/gateway/order_desk_ends_test.py
@@ -22,7 +22,7 @@
     0,
     1.0,
     5,
-    {MODEL: serving.ServedModel(MODEL, 40.0, 1.0, 0.5, 0.3, 0, 1.0)},
+    {MODEL: serving.ModelSpec(MODEL, 40.0, 1.0, 0.5, 0.3, 0, 1.0)},
 )
 CONFIGURATION = serving.Configuration(
     1,
@@ -30,7 +30,7 @@
     {SERVICE: serving.Service(SERVICE, "/health", 100, SPEC)},
     serving.CallerLimits(),
 )
-HELD = (serving.HeldModel(MODEL, frozenset()),)
+HELD = (serving.ResidentModel(MODEL, frozenset()),)
 
 
 class _Lease:
--- a/sesamecross/gateway/order_desk_load_test.py
+++ b/sesamecross/gateway/order_desk_load_test.py
@@ -65,7 +65,7 @@
     me = None
 
     def __init__(self) -> None:
-        self.sent: list[fm.Want] = []
+        self.sent: list[fm.PlacementRequest] = []
         self.lease = types.SimpleNamespace(holder="i2")
         self.roster = {"i2": "i2", "i3": "i3"}
 
@@ -75,7 +75,7 @@
     def next_number(self) -> int:
         return len(self.sent)
 
-    def send(self, message: fm.Want, to: str) -> None:
+    def send(self, message: fm.PlacementRequest, to: str) -> None:
         self.sent.append((to, message.target, message.upstream))
 
 
--- a/sesamecross/gateway/order_desk_test.py
+++ b/sesamecross/gateway/order_desk_test.py
@@ -89,7 +89,7 @@
     assert begin_all(desk, spec, 110.0) <= 1.0 * 5.0 + 2.0
 
 
-MODEL = serving.ServedModel("m", 40.0, 2.0, 1.0, 0.5, 2, 1.0)
+MODEL = serving.ModelSpec("m", 40.0, 2.0, 1.0, 0.5, 2, 1.0)
 SOUND = serving.EngineSpec(8, 1000, 100.0, 4, 2.0, 1, {"m": MODEL})
 
 
@@ -103,7 +103,7 @@
             8,
             False,
             5,
-            (serving.HeldModel("m", frozenset({"a1"})),),
+            (serving.ResidentModel("m", frozenset({"a1"})),),
         ),
         **changes,
     )
@@ -166,7 +166,7 @@
     """
     models = ()
     if adapters is not None:
-        models = (serving.HeldModel("m", frozenset(adapters)),)
+        models = (serving.ResidentModel("m", frozenset(adapters)),)
     entry = held("u0", "s", models=models)
     # In `planned` no engine reports; its clock ends at 1018 s.
     desk = planned({"s": SOUND}, [entry])
@@ -221,7 +221,7 @@
 
 MODELS = st.lists(
     st.builds(
-        serving.ServedModel,
+        serving.ModelSpec,
         st.sampled_from(["m", "n", "", "m/a1"]),
         mostly(40.0, FIGURE),
         mostly(2.0, FIGURE),
@@ -248,13 +248,13 @@
 @given(
     spec=SPECS,
     slots=mostly(8, COUNT),
-    leaves_in_s=st.one_of(st.none(), FIGURE),
+    remaining_s=st.one_of(st.none(), FIGURE),
 )
-def test_no_configuration_stops_the_giver_of_orders(spec, slots, leaves_in_s):
+def test_no_configuration_stops_the_giver_of_orders(spec, slots, remaining_s):
     """Whatever operators declare, the orders of other services go on."""
     upstreams = [
         held("u0", "s", slots=slots),
-        held("u1", "s", is_leaving=True, leaves_in_s=leaves_in_s),
+        held("u1", "s", is_leaving=True, remaining_s=remaining_s),
         held("u2", "s", models=()),
         held("u3", "t"),
     ]
--- a/sesamecross/gateway/pacing.py
+++ b/sesamecross/gateway/pacing.py
@@ -45,7 +45,7 @@
         self._mesh = mesh
         self._pacers: dict[str, pacer_lib.Pacer] = {}
         self._timers: dict[str, asyncio.TimerHandle] = {}
-        self._asked: dict[int, asyncio.Future[fm.Grant]] = {}
+        self._asked: dict[int, asyncio.Future[fm.AdmissionReply]] = {}
         # Asks that their pacer has heard and not granted yet.
         self._heard: set[int] = set()
         # Instances that said that they stop, or this one, by name: which life.
@@ -125,7 +125,7 @@
         loop = asyncio.get_running_loop()
         number = self._mesh.next_number()
         permit = Permit(upstream, number, pacer)
-        granted: asyncio.Future[fm.Grant] = loop.create_future()
+        granted: asyncio.Future[fm.AdmissionReply] = loop.create_future()
         self._asked[number] = granted
         round_trip_s = self._state.location.round_trip_s(known.entry.zone)
         try:
@@ -151,10 +151,12 @@
             self.read(permit)
             return Refused(pacer_lib.OVERLOAD_RETRY_AFTER_S)
         match granted.result():
-            case fm.Grant(verdict=fm.Verdict.REFUSE, after_s=after_s):
+            case fm.AdmissionReply(
+                verdict=fm.AdmissionDecision.REFUSE, after_s=after_s
+            ):
                 permit.is_open = False
                 return Refused(after_s)
-            case fm.Grant(verdict=fm.Verdict.LEAVE):
+            case fm.AdmissionReply(verdict=fm.AdmissionDecision.LEAVING):
                 return None
         return permit
 
@@ -190,7 +192,7 @@
         self, permit: Permit, tokens: int, due_s: float, until_s: float
     ) -> None:
         now_s = asyncio.get_running_loop().time()
-        ask = fm.Ask(
+        ask = fm.AdmissionRequest(
             self._mesh.me,
             permit.number,
             permit.upstream,
@@ -200,7 +202,11 @@
         )
         self._send(ask, permit.pacer)
 
-    def _send(self, message: fm.Ask | fm.Read | fm.Grant, to: str) -> None:
+    def _send(
+        self,
+        message: fm.AdmissionRequest | fm.AdmissionRelease | fm.AdmissionReply,
+        to: str,
+    ) -> None:
         if to == self._mesh.me.name:
             self._on_message(message)
             return
@@ -213,32 +219,34 @@
         if not permit.is_open:
             return
         permit.is_open = False
-        message = fm.Read(self._mesh.me, permit.number, permit.upstream)
+        message = fm.AdmissionRelease(
+            self._mesh.me, permit.number, permit.upstream
+        )
         self._send(message, permit.pacer)
 
     # -- pacing --------------------------------------------------------
 
     def _on_message(self, message: fm.Message) -> None:
         match message:
-            case fm.Ask():
+            case fm.AdmissionRequest():
                 self._on_ask(message)
-            case fm.Read(me=me, number=number, upstream=upstream):
+            case fm.AdmissionRelease(me=me, number=number, upstream=upstream):
                 pacer = self._pacers.get(upstream)
                 if pacer is not None:
                     pacer.prompt_read((me.name, number))
                     self._grant(upstream)
-            case fm.Grant(me=me, number=number, verdict=verdict):
-                if verdict is fm.Verdict.LEAVE:
+            case fm.AdmissionReply(me=me, number=number, verdict=verdict):
+                if verdict is fm.AdmissionDecision.LEAVING:
                     self._note_left(me)
                 asked = self._asked.get(number)
                 if asked is None or asked.done():
                     return
-                if verdict is fm.Verdict.WAIT:
+                if verdict is fm.AdmissionDecision.WAIT:
                     self._heard.add(number)
                 else:
                     asked.set_result(message)
 
-    def _on_ask(self, message: fm.Ask) -> None:
+    def _on_ask(self, message: fm.AdmissionRequest) -> None:
         if self._has_left(self._mesh.me):
             # The others' asks arrive until the port is closed.
             self._tell_leave(message.me.name, message.number)
@@ -256,7 +264,9 @@
             now_s,
         )
         if key not in decisions.granted and key not in decisions.refused:
-            heard = fm.Grant(self._mesh.me, message.number, fm.Verdict.WAIT)
+            heard = fm.AdmissionReply(
+                self._mesh.me, message.number, fm.AdmissionDecision.WAIT
+            )
             self._send(heard, message.me.name)
         self._tell(upstream, decisions)
 
@@ -274,14 +284,26 @@
     def _tell(self, upstream: str, decisions: pacer_lib.Decisions) -> None:
         me = self._mesh.me
         for name, number in decisions.granted:
-            self._send(fm.Grant(me, number, fm.Verdict.SEND), name)
+            self._send(
+                fm.AdmissionReply(me, number, fm.AdmissionDecision.SEND), name
+            )
         for name, number in decisions.refused:
             back_s = pacer_lib.OVERLOAD_RETRY_AFTER_S
-            self._send(fm.Grant(me, number, fm.Verdict.REFUSE, back_s), name)
+            self._send(
+                fm.AdmissionReply(
+                    me, number, fm.AdmissionDecision.REFUSE, back_s
+                ),
+                name,
+            )
         self._look_again(upstream)
 
     def _tell_leave(self, name: str, number: int) -> None:
-        self._send(fm.Grant(self._mesh.me, number, fm.Verdict.LEAVE), name)
+        self._send(
+            fm.AdmissionReply(
+                self._mesh.me, number, fm.AdmissionDecision.LEAVING
+            ),
+            name,
+        )
 
     def _look_again(self, upstream: str) -> None:
         """Looks at an engine's asks when the next one may go."""
--- a/sesamecross/gateway/placement_teller.py
+++ b/sesamecross/gateway/placement_teller.py
@@ -24,7 +24,7 @@
     withdrawn: set[str],
     planned: Mapping[str, float],
     now_s: float,
-) -> fm.EnginePlace:
+) -> fm.EnginePlacement:
     """Returns an engine's place, as it is told.
 
     Args:
@@ -38,7 +38,7 @@
         for target in inventory.models | inventory.adapters
         if target.partition("/")[0] not in withdrawn
     }
-    return fm.EnginePlace(
+    return fm.EnginePlacement(
         inventory.instance_id,
         inventory.born_ms,
         inventory.orders,
@@ -63,7 +63,7 @@
     def __init__(self, state: state_lib.State, mesh: mesh_lib.Mesh):
         self._state = state
         self._mesh = mesh
-        self._told: dict[str, fm.EnginePlace] = {}
+        self._told: dict[str, fm.EnginePlacement] = {}
         # Names of instances that wait for a target.
         self._waiting: dict[str, set[str]] = {}
         self._refreshed_s = 0.0
@@ -90,7 +90,7 @@
         self._state.notify_change()
 
     def tell(
-        self, places: Iterable[fm.EnginePlace], fence: int, now_s: float
+        self, places: Iterable[fm.EnginePlacement], fence: int, now_s: float
     ) -> None:
         """Tells everybody what changed, and now and then everything."""
         is_refresh = now_s - self._refreshed_s >= REFRESH_S
@@ -123,7 +123,9 @@
                 self._mesh.send(message, member)
 
 
-def _differs(told: fm.EnginePlace | None, place: fm.EnginePlace) -> bool:
+def _differs(
+    told: fm.EnginePlacement | None, place: fm.EnginePlacement
+) -> bool:
     if told is None:
         return True
     return (
--- a/sesamecross/gateway/placement_teller_test.py
+++ b/sesamecross/gateway/placement_teller_test.py
@@ -44,8 +44,10 @@
         self.touched += 1
 
 
-def place(name="e1", orders=1, targets=("m1",), born_ms=7) -> fm.EnginePlace:
-    return fm.EnginePlace(name, born_ms, orders, list(targets), [], [])
+def place(
+    name="e1", orders=1, targets=("m1",), born_ms=7
+) -> fm.EnginePlacement:
+    return fm.EnginePlacement(name, born_ms, orders, list(targets), [], [])
 
 
 def teller() -> tuple[placement_teller.PlacementTeller, _Mesh, _State]:
@@ -124,6 +126,6 @@
     told = placement_teller.place_of(
         inventory, {"m1"}, {"m2": 11.0, "m4": 14.0}, 10.0
     )
-    assert told == fm.EnginePlace(
+    assert told == fm.EnginePlacement(
         "e1", 7, 3, ["m2", "m2/a1"], [("m3", 2.5)], [("m4", 4.0)]
     )
--- a/sesamecross/gateway/registrar.py
+++ b/sesamecross/gateway/registrar.py
@@ -101,7 +101,7 @@
         after = ""
         while True:
             outcome = await self._client.newest(self._topic, after)
-            if not isinstance(outcome, store.Newest):
+            if not isinstance(outcome, store.NewestPage):
                 self._log.warning("store does not answer", why=str(outcome))
                 return None
             found |= {record.key: record for record in outcome.records}
--- a/sesamecross/gateway/registrar_test.py
+++ b/sesamecross/gateway/registrar_test.py
@@ -31,7 +31,7 @@
         self.end = len(values)
 
     async def newest(self, _topic, _after):
-        return store.Newest(tuple(self.records.values()), False, self.end)
+        return store.NewestPage(tuple(self.records.values()), False, self.end)
 
     async def append(self, _topic, key, value, at):
         if at is not None and at != self.end:
--- a/sesamecross/gateway/store_proxy.py
+++ b/sesamecross/gateway/store_proxy.py
@@ -80,7 +80,7 @@
             return StoreTold(True, False, offset)
         case store.Conflict(end):
             return StoreTold(True, True, end)
-        case store.Newest(records=records, end=end):
+        case store.NewestPage(records=records, end=end):
             return StoreTold(True, False, end, store_messages.encoded(records))
     return StoreTold(False, False, -1)
 
@@ -122,13 +122,13 @@
     async def newest(self, topic: str) -> store.NewestOutcome:
         """Lists the newest records of a topic, one page."""
         outcome = await self._client.newest(topic, "")
-        if isinstance(outcome, store.Newest):
+        if isinstance(outcome, store.NewestPage):
             return outcome
         told = await self._by_another(NewestAsk(topic))
         if told is None or not told.is_done:
             return outcome
         records = store_messages.decoded(told.records)
-        return store.Newest(records, False, told.offset)
+        return store.NewestPage(records, False, told.offset)
 
     async def _by_another(self, ask: AppendAsk | NewestAsk) -> StoreTold | None:
         source = self._choose()
@@ -148,7 +148,7 @@
                     self._source = source.address
                 await self._stream.send(ask)
                 told = await self._stream.receive()
-        except (streams.StreamClosed, TimeoutError) as error:
+        except (streams.StreamClosedError, TimeoutError) as error:
             self._close()
             self._log.warning(
                 "no answer", by=source.name, why=str(error) or "timeout"
--- a/sesamecross/gateway/sync.py
+++ b/sesamecross/gateway/sync.py
@@ -106,7 +106,7 @@
                             self._client, self._own_prefix, ask
                         )
                         await stream.send(told)
-        except (streams.StreamClosed, asyncio.CancelledError):
+        except (streams.StreamClosedError, asyncio.CancelledError):
             # The task is asyncio's own: a cancellation that left it would be
             # reported as an error of its callback.
             writer.close()
@@ -186,7 +186,7 @@
         try:
             async with asyncio.timeout(ANSWER_S):
                 answer = await self._ask(source)
-        except (streams.StreamClosed, TimeoutError) as error:
+        except (streams.StreamClosedError, TimeoutError) as error:
             self._close()
             self._log.warning(
                 "no answer", source=source.name, why=str(error) or "timeout"
@@ -220,7 +220,7 @@
         await self._stream.send(ask)
         answer = await self._stream.receive()
         if not isinstance(answer, SyncAnswer):
-            raise streams.StreamClosed("not an answer")
+            raise streams.StreamClosedError("not an answer")
         return answer
 
     def _take(self, answer: SyncAnswer) -> None:
@@ -296,11 +296,11 @@
                 self._mesh.roster.me.name,
                 self._stamper,
             )
-        except streams.StreamRefused:
+        except streams.StreamRefusedError:
             self._on_end(holder)
             await asyncio.sleep(WATCH_PAUSE_S)
             return
-        except streams.StreamClosed:
+        except streams.StreamClosedError:
             await asyncio.sleep(WATCH_PAUSE_S)
             return
         receiving = asyncio.create_task(_until_closed(stream))
@@ -313,6 +313,6 @@
 
 
 async def _until_closed(stream: streams.Stream) -> None:
-    with contextlib.suppress(streams.StreamClosed):
+    with contextlib.suppress(streams.StreamClosedError):
         while True:
             await stream.receive()
--- a/sesamecross/operators/fleet.py
+++ b/sesamecross/operators/fleet.py
@@ -104,7 +104,7 @@
                     return await asyncio.wait_for(
                         self._ask(address, request()), ANSWER_S
                     )
-                except (streams.StreamClosed, TimeoutError):
+                except (streams.StreamClosedError, TimeoutError):
                     return None
 
         names = self.instances
--- a/sesamecross/ops/claim_group.py
+++ b/sesamecross/ops/claim_group.py
@@ -411,11 +411,11 @@
             return True
         return False
 
-    def _conflict(self, claim: records.ClaimMade) -> gm.KeptClaim | None:
+    def _conflict(self, claim: records.ClaimMade) -> gm.ReplicatedClaim | None:
         name = _name(claim)
         local = self._local.get(name)
         if local is not None and local.claim.claim_id != claim.claim_id:
-            return gm.KeptClaim(local.claim, local.settled)
+            return gm.ReplicatedClaim(local.claim, local.settled)
         in_log = self._table.by_name.get(name)
         if in_log is None or in_log.claim_id == claim.claim_id:
             return None
@@ -430,7 +430,7 @@
             settled = records.ClaimSettled(
                 in_log.claim_id, in_log.executed, in_log.answer
             )
-        return gm.KeptClaim(kept, settled)
+        return gm.ReplicatedClaim(kept, settled)
 
     def on_ack(self, ack: gm.ClaimAck, now_ms: int) -> list[Action]:
         """Takes in a participant's answer."""
@@ -527,7 +527,7 @@
         if self._active and self._active < fence.epoch:
             self._active = 0
         kept = tuple(
-            gm.KeptClaim(local.claim, local.settled)
+            gm.ReplicatedClaim(local.claim, local.settled)
             for local in self._local.values()
         )
         return gm.GroupFenced(
@@ -710,7 +710,7 @@
         )
         return len(maybe_dark) > 1 or lost_witness
 
-    def _import(self, kept: gm.KeptClaim) -> None:
+    def _import(self, kept: gm.ReplicatedClaim) -> None:
         """Keeps a claim that another participant handed over."""
         name = _name(kept.claim)
         local = self._local.get(name)
--- a/sesamecross/ops/fleet/demand_history_test.py
+++ b/sesamecross/ops/fleet/demand_history_test.py
@@ -16,7 +16,7 @@
 def load(
     slots: int, rate: float, place_s: float, running: int = 0, read_s=READ_S
 ):
-    model = serving.ServedModel("m", 40.0, 2.0, 0.5, 0.3, 0, 1.0)
+    model = serving.ModelSpec("m", 40.0, 2.0, 0.5, 0.3, 0, 1.0)
     spec = serving.EngineSpec(slots, 66_000, 200.0, 8, 2.0, 8, {"m": model})
     told = {KEY: fm.TargetDemand("s", "m", rate, 0, 0.0, place_s, read_s)}
     demand = demand_history.DemandHistory().demand(
--- a/sesamecross/ops/fleet/directory.py
+++ b/sesamecross/ops/fleet/directory.py
@@ -249,7 +249,7 @@
         gone_s = now_s - known.leaving_s
         if gone_s >= self.drain_s * LEAVING_USE_SHARE:
             return False
-        stays_s = known.entry.leaves_in_s
+        stays_s = known.entry.remaining_s
         if stays_s is None:
             stays_s = self.drain_s + LINGER_S
         return gone_s + lasts_s < stays_s
--- a/sesamecross/ops/fleet/engine_inventory.py
+++ b/sesamecross/ops/fleet/engine_inventory.py
@@ -151,7 +151,7 @@
         self.models = {target for target in listed if "/" not in target}
         self.adapters = {target for target in listed if "/" in target}
         self.arriving = dict.fromkeys(
-            report.arriving_adapters - self.adapters, now_s
+            report.loading_adapters - self.adapters, now_s
         )
         self.is_fully_known = not report.is_busy
 
@@ -175,9 +175,7 @@
             self._arrived(target)
         self.models |= models
         self.adapters = listed - models
-        arriving = dict.fromkeys(
-            report.arriving_adapters - self.adapters, now_s
-        )
+        arriving = dict.fromkeys(report.loading_adapters - self.adapters, now_s)
         if report.is_busy or not self.is_fully_known:
             arriving = self.arriving | arriving
         self.arriving = {
@@ -275,7 +273,7 @@
         return done
 
 
-def _size(models: Mapping[str, serving.ServedModel], name: str) -> float:
+def _size(models: Mapping[str, serving.ModelSpec], name: str) -> float:
     model = models.get(name)
     if model is not None:
         return model.weights_mb
@@ -283,7 +281,7 @@
 
 
 def _adapter_size(
-    models: Mapping[str, serving.ServedModel], target: str
+    models: Mapping[str, serving.ModelSpec], target: str
 ) -> float:
     model = models.get(target.partition("/")[0])
     if model is not None:
--- a/sesamecross/ops/fleet/engine_inventory_test.py
+++ b/sesamecross/ops/fleet/engine_inventory_test.py
@@ -16,7 +16,7 @@
 
 def spec() -> serving.EngineSpec:
     models = {
-        name: serving.ServedModel(name, size, 2.0, 0.5, 0.3, 4, 1.0)
+        name: serving.ModelSpec(name, size, 2.0, 0.5, 0.3, 4, 1.0)
         for name, size in SIZES.items()
     }
     return serving.EngineSpec(8, 1000, ROOM_MB, ADAPTER_SLOTS, 1.0, 1, models)
@@ -26,7 +26,7 @@
     orders=0, is_busy=False, models=(), adapters=(), arriving=(), born=1
 ) -> serving.EngineReport:
     held = tuple(
-        serving.HeldModel(
+        serving.ResidentModel(
             name,
             frozenset(
                 one.partition("/")[2]
@@ -62,7 +62,7 @@
     inventory.apply_report(report(), 0.0, 0.0)
     inventory.order_accepted(True, "large", 0.5, 0.1)
     entry = serving.Upstream(
-        "e", "s", "a:1", "z", 8, False, 1, (serving.HeldModel("large"),)
+        "e", "s", "a:1", "z", 8, False, 1, (serving.ResidentModel("large"),)
     )
     inventory.apply_entry(entry)
     inventory.apply_report(
@@ -87,7 +87,7 @@
 def test_an_engine_is_heard_once_it_has_reported(told, has_reported):
     """What an entry lists is no report: it counts neither way."""
     inventory = engine_inventory.EngineInventory("e", 1)
-    listed = (serving.HeldModel("large"),)
+    listed = (serving.ResidentModel("large"),)
     inventory.apply_entry(
         serving.Upstream("e", "s", "a:1", "z", 8, False, 1, listed)
     )
@@ -246,7 +246,7 @@
             return
         if answer is serving.OrderAnswer.ACCEPTED:
             inventory.order_accepted(loads, target, self.now_s + 1, self.now_s)
-        elif answer is serving.OrderAnswer.ALREADY:
+        elif answer is serving.OrderAnswer.ALREADY_DONE:
             inventory.order_already_done(loads, target, self.now_s)
 
     def _sound_target(self, loads, data):
--- a/sesamecross/ops/fleet/engine_state.py
+++ b/sesamecross/ops/fleet/engine_state.py
@@ -33,7 +33,7 @@
       own_prompt_tokens, others_prompt_tokens: Sent, and no event yet.
     """
 
-    place: fm.EnginePlace | None = None
+    place: fm.EnginePlacement | None = None
     place_s: float = 0.0
     absent: dict[str, float] = dataclasses.field(default_factory=dict)
     own_prompt_tokens: int = 0
@@ -45,7 +45,7 @@
         default_factory=prefix_cache.PrefixCache
     )
 
-    def apply_placement(self, place: fm.EnginePlace, now_s: float) -> None:
+    def apply_placement(self, place: fm.EnginePlacement, now_s: float) -> None:
         """Takes in the holder's word, which arrives in order.
 
         The count of orders goes down where the holder has put its books right.
@@ -106,7 +106,7 @@
     return call.prompt_tokens * START_PROMPT_MS / 1000
 
 
-def targets_of(models: tuple[serving.HeldModel, ...]) -> set[str]:
+def targets_of(models: tuple[serving.ResidentModel, ...]) -> set[str]:
     """Returns models and adapters as targets."""
     found = set()
     for held in models:
--- a/sesamecross/ops/fleet/engine_state_test.py
+++ b/sesamecross/ops/fleet/engine_state_test.py
@@ -9,8 +9,8 @@
 ENTRY = serving.Upstream("e", "s", "a:1", "z", 8, False, 1)
 
 
-def place(orders: int, *targets: str) -> fm.EnginePlace:
-    return fm.EnginePlace("e", 1, orders, list(targets), [], [])
+def place(orders: int, *targets: str) -> fm.EnginePlacement:
+    return fm.EnginePlacement("e", 1, orders, list(targets), [], [])
 
 
 @pytest.mark.parametrize("orders", [7, 8, 9])
--- a/sesamecross/ops/fleet/placement_steps_test.py
+++ b/sesamecross/ops/fleet/placement_steps_test.py
@@ -129,7 +129,7 @@
     one = engine("e1", "m")
     one.inventory.adapters.update({"m/a1", "m/a2"})
     one.inventory.loaded_s.update({f"m/{k}": v for k, v in loaded_s.items()})
-    adapters = serving.ServedModel("m", 40.0, 2.0, 0.5, 0.3, 5, 1.0)
+    adapters = serving.ModelSpec("m", 40.0, 2.0, 0.5, 0.3, 5, 1.0)
     given = dataclasses.replace(
         inputs([one], {"m": demand(5.0)}, {"e1": ["m"]}),
         spec=dataclasses.replace(
--- a/sesamecross/ops/fleet/report_totals.py
+++ b/sesamecross/ops/fleet/report_totals.py
@@ -44,17 +44,19 @@
             for upstream, running in self.running.items()
         ]
 
-    def uses(self) -> list[fm.TargetUse]:
+    def uses(self) -> list[fm.TargetLoad]:
         """Returns the use of models and adapters as it is sent."""
         return [
-            fm.TargetUse(upstream, target, running)
+            fm.TargetLoad(upstream, target, running)
             for (upstream, target), running in self.in_use.items()
         ]
 
-    def failures(self) -> list[fm.Failing]:
+    def failures(self) -> list[fm.UpstreamOutcomes]:
         """Returns the outcomes as they are sent."""
         return [
-            fm.Failing(upstream, round(one.failed, 1), round(one.total, 1))
+            fm.UpstreamOutcomes(
+                upstream, round(one.failed, 1), round(one.total, 1)
+            )
             for upstream, one in self.failing.items()
         ]
 
--- a/sesamecross/ops/fleet/retry_policy.py
+++ b/sesamecross/ops/fleet/retry_policy.py
@@ -125,10 +125,10 @@
 ) -> bool:
     match failure:
         case NotSent() | NotRun():
-            return route.may_repeat or not progress.possibly_ran_at
+            return route.is_retry_safe or not progress.possibly_ran_at
         case Lost() | FailedThere():
             return (
-                route.may_repeat
+                route.is_retry_safe
                 and len(progress.possibly_ran_at) < route.max_upstreams
             )
     return False
--- a/sesamecross/ops/fleet/retry_policy_test.py
+++ b/sesamecross/ops/fleet/retry_policy_test.py
@@ -27,7 +27,7 @@
     )
 
 
-ONCE = route(serving.RouteKind.ONCE)
+AT_MOST_ONCE = route(serving.RouteKind.AT_MOST_ONCE)
 AGAIN = route(serving.RouteKind.IDEMPOTENT)
 STREAM = route(serving.RouteKind.STREAM)
 RESUMABLE = route(serving.RouteKind.STREAM, resumable=True)
@@ -38,15 +38,36 @@
     ("of", "failure", "possibly_ran_at", "sends", "may_spend", "expected"),
     [
         # Nothing was sent: any other upstream will do, at no cost.
-        (ONCE, retry_policy.NotSent("refused"), (), 0, False, NextAction.RETRY),
+        (
+            AT_MOST_ONCE,
+            retry_policy.NotSent("refused"),
+            (),
+            0,
+            False,
+            NextAction.RETRY,
+        ),
         # The upstream's own word that it did not run it.
-        (ONCE, retry_policy.NotRun(503), (), 1, True, NextAction.RETRY),
-        (ONCE, retry_policy.NotRun(503), (), 1, False, NextAction.REFUSE),
+        (AT_MOST_ONCE, retry_policy.NotRun(503), (), 1, True, NextAction.RETRY),
+        (
+            AT_MOST_ONCE,
+            retry_policy.NotRun(503),
+            (),
+            1,
+            False,
+            NextAction.REFUSE,
+        ),
         # It may have run: never again, and nothing is promised.
-        (ONCE, retry_policy.Lost("reset"), ("x",), 1, True, NextAction.FAIL),
+        (
+            AT_MOST_ONCE,
+            retry_policy.Lost("reset"),
+            ("x",),
+            1,
+            True,
+            NextAction.FAIL,
+        ),
         (STREAM, retry_policy.Lost("reset"), ("x",), 1, True, NextAction.FAIL),
         (
-            ONCE,
+            AT_MOST_ONCE,
             retry_policy.FailedThere(500),
             ("x",),
             1,
@@ -95,7 +116,9 @@
 
 
 @settings(max_examples=600, deadline=None, derandomize=True)
-@given(of=st.sampled_from((ONCE, AGAIN, STREAM, RESUMABLE)), fates=FATES)
+@given(
+    of=st.sampled_from((AT_MOST_ONCE, AGAIN, STREAM, RESUMABLE)), fates=FATES
+)
 def test_nothing_runs_twice_and_no_refusal_is_untrue(of, fates):
     """Orders ran twice, or were refused though they had run.
 
@@ -133,7 +156,7 @@
     else:
         # Whatever happens, it comes to an end.
         assert len(fates) < retry_policy.TRIES_MOST + retry_policy.SENDS_MOST
-    assert runs <= (of.max_upstreams if of.may_repeat else 1)
+    assert runs <= (of.max_upstreams if of.is_retry_safe else 1)
 
 
 @pytest.mark.parametrize("instances", [1, 8, 73, 300])
--- a/sesamecross/ops/fleet/stopping_test.py
+++ b/sesamecross/ops/fleet/stopping_test.py
@@ -27,9 +27,9 @@
     )
 
 
-PLAIN = route(serving.RouteKind.ONCE, 2.0)
+PLAIN = route(serving.RouteKind.AT_MOST_ONCE, 2.0)
 STREAM = route(serving.RouteKind.STREAM, 12.0)
-EMPTY = route(serving.RouteKind.ONCE, 0.0)
+EMPTY = route(serving.RouteKind.AT_MOST_ONCE, 0.0)
 
 
 @pytest.mark.parametrize(
--- a/sesamecross/ops/fleet/target_uses.py
+++ b/sesamecross/ops/fleet/target_uses.py
@@ -31,9 +31,9 @@
         else:
             self._running.pop(key, None)
 
-    def rows(self) -> list[fm.TargetUse]:
+    def rows(self) -> list[fm.TargetLoad]:
         """Returns the counts as they are told."""
         return [
-            fm.TargetUse(instance_id, target, running)
+            fm.TargetLoad(instance_id, target, running)
             for (instance_id, target), running in sorted(self._running.items())
         ]
--- a/sesamecross/ops/gossip.py
+++ b/sesamecross/ops/gossip.py
@@ -36,9 +36,9 @@
     everywhere: bool
 
     @property
-    def version(self) -> hlc.Stamp:
+    def version(self) -> hlc.Timestamp:
         """The stamp that orders this item's versions."""
-        return hlc.Stamp(self.wall_ms, self.count)
+        return hlc.Timestamp(self.wall_ms, self.count)
 
 
 @codec.register
@@ -57,7 +57,7 @@
     def __init__(self, peer: str, zone: str):
         self.peer = peer
         self.zone = zone
-        self._known: dict[str, hlc.Stamp] = {}
+        self._known: dict[str, hlc.Timestamp] = {}
 
     def mark_known(self, item: Item) -> None:
         """The other side has this item."""
--- a/sesamecross/ops/timeline.py
+++ b/sesamecross/ops/timeline.py
@@ -104,12 +104,12 @@
             )
             self._ring.append(event)
 
-    def now(self) -> hlc.Stamp:
+    def now(self) -> hlc.Timestamp:
         """Returns a stamp for a message that leaves this process."""
         with self._lock:
             return self._clock.now()
 
-    def receive(self, stamp: hlc.Stamp) -> None:
+    def receive(self, stamp: hlc.Timestamp) -> None:
         """Takes in the stamp of a message that arrived."""
         with self._lock:
             self._clock.receive(stamp)
--- a/sesamecross/parser/crosschecks.py
+++ b/sesamecross/parser/crosschecks.py
@@ -53,7 +53,7 @@
     for name in names:
         if not isinstance(name, str) or name in declared:
             continue
-        if any_allowed and name == data.ANY_NAME:
+        if any_allowed and name == data.WILDCARD:
             continue
         if _is_adapter_of_callers(tree, path, name):
             continue
--- a/sesamecross/parser/declarations.py
+++ b/sesamecross/parser/declarations.py
@@ -30,9 +30,9 @@
     "callers": data.Caller,
 }
 _SINGLE = {
-    "store": data.Store,
-    "weights": data.Weights,
-    "claims": data.Claims,
+    "store": data.WeightStore,
+    "weights": data.PlacementWeights,
+    "claims": data.ClaimLimits,
 }
 
 
--- a/sesamecross/parser/settings.py
+++ b/sesamecross/parser/settings.py
@@ -61,7 +61,7 @@
     caller_idle_ms: data.Positive = 20_000
     receive_ms: data.Positive = 30_000
     default_deadline_ms: data.Positive = 120_000
-    balancer_lag_ms: data.NotNegative = 1000
+    balancer_lag_ms: data.NonNegative = 1000
     drain_ms: data.Positive = 60_000
     log_level: str = "info"
     log_format: str = "json"
--- a/sesamecross/platform/catalog.py
+++ b/sesamecross/platform/catalog.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from sesamecross.core import serving
-from sesamecross.platform import outside
+from sesamecross.platform import untrusted
 
 MS = 0.001
 
@@ -27,11 +27,11 @@
     # The time to a whole answer's first byte or a stream's first event.
     target_latency_ms: float = 0.0
     # 0 is the most urgent, also where a class's name suggests otherwise.
-    priority: outside.Number = 5
+    priority: untrusted.Number = 5
     service: str | None = None
     traffic_split: list[_WireTarget] = []
     # How many upstreams, not how many tries.
-    max_attempts: outside.Number = 1
+    max_attempts: untrusted.Number = 1
     # Only says that requests name a model and the parts of their prompt.
     session_affinity: bool = False
     resumable: bool = False
@@ -42,45 +42,45 @@
     name: str
     weights_mb: float
     load_s: float
-    adapters: outside.Number = 0
+    adapters: untrusted.Number = 0
     adapter_mb: float = 0.0
     warm_s: float | None = None
     disk_load_s: float | None = None
 
 
 class _WireEngine(msgspec.Struct, frozen=True, rename="camel"):
-    slots: outside.Number
-    kv_capacity: outside.Number
+    slots: untrusted.Number
+    kv_capacity: untrusted.Number
     weights_mb: float = 0.0
-    adapter_slots: outside.Number = 0
+    adapter_slots: untrusted.Number = 0
     loads_per_s: float = 1.0
     # Tokens in one event.
-    stride: outside.Number = 1
+    stride: untrusted.Number = 1
     models: list[_WireModel] = []
 
 
 class _WireService(msgspec.Struct, frozen=True, rename="camel"):
     name: str
     health_path: str = "/health"
-    max_connections: outside.Number = 100
+    max_connections: untrusted.Number = 100
     engine: _WireEngine | None = None
 
 
 class _WireLimits(msgspec.Struct, frozen=True, rename="camel"):
-    max_header_bytes: outside.Number = 16_384
-    max_body_bytes: outside.Number = 4 * 1024 * 1024
+    max_header_bytes: untrusted.Number = 16_384
+    max_body_bytes: untrusted.Number = 4 * 1024 * 1024
     header_timeout_ms: float = 3000.0
     idle_timeout_ms: float = 15_000.0
 
 
 class _WireConfiguration(msgspec.Struct, frozen=True):
-    version: outside.NotNegative
+    version: untrusted.NonNegative
     routes: list[_WireRoute]
     services: list[_WireService]
     limits: _WireLimits = _WireLimits()
 
 
-class WireHeldModel(msgspec.Struct, frozen=True):
+class WireResidentModel(msgspec.Struct, frozen=True):
     """A model in the lists of an upstream's entry and of its report."""
 
     name: str
@@ -101,9 +101,9 @@
     address: str
     zone: str
     state: str
-    slots: outside.Positive = 1
-    born: outside.NotNegative = 0
-    models: list[WireHeldModel] = []
+    slots: untrusted.Positive = 1
+    born: untrusted.NonNegative = 0
+    models: list[WireResidentModel] = []
     available: WireCopies = WireCopies()
     # Set where the upstream is taken away at short notice.
     remaining_ms: float | None = None
@@ -111,7 +111,7 @@
 
 _KINDS = {
     "safe": serving.RouteKind.IDEMPOTENT,
-    "unsafe": serving.RouteKind.ONCE,
+    "unsafe": serving.RouteKind.AT_MOST_ONCE,
     "streaming": serving.RouteKind.STREAM,
 }
 _READY = "ready"
@@ -124,7 +124,7 @@
 def configuration(value: bytes) -> serving.Configuration | None:
     """Returns a configuration, or None where the bytes hold none."""
     try:
-        wire = outside.decode(_configuration_decoder, value)
+        wire = untrusted.decode(_configuration_decoder, value)
         return serving.Configuration(
             wire.version,
             tuple(_route(route) for route in wire.routes),
@@ -136,7 +136,7 @@
                 wire.limits.idle_timeout_ms * MS,
             ),
         )
-    except (outside.NotUnderstood, KeyError):
+    except (untrusted.NotUnderstood, KeyError):
         # The key is a kind of route that is not known.
         return None
 
@@ -178,7 +178,7 @@
     models = {}
     for one in wire.models:
         disk_s = one.load_s if one.disk_load_s is None else one.disk_load_s
-        models[one.name] = serving.ServedModel(
+        models[one.name] = serving.ModelSpec(
             one.name,
             one.weights_mb,
             one.load_s,
@@ -201,16 +201,16 @@
 def upstream(instance_id: str, value: bytes) -> serving.Upstream | None:
     """Returns an upstream's entry, or None where the bytes hold none."""
     try:
-        wire = outside.decode(_upstream_decoder, value)
-    except outside.NotUnderstood:
+        wire = untrusted.decode(_upstream_decoder, value)
+    except untrusted.NotUnderstood:
         return None
     if wire.state not in (_READY, _DRAINING):
         return None
-    if not outside.is_address(wire.address):
+    if not untrusted.is_address(wire.address):
         return None
-    leaves_in_s = None
+    remaining_s = None
     if wire.remaining_ms is not None:
-        leaves_in_s = wire.remaining_ms * MS
+        remaining_s = wire.remaining_ms * MS
     return serving.Upstream(
         instance_id,
         wire.service,
@@ -221,16 +221,16 @@
         wire.born,
         held_models(wire.models),
         copies(wire.available),
-        leaves_in_s,
+        remaining_s,
     )
 
 
 def held_models(
-    wire: list[WireHeldModel],
-) -> tuple[serving.HeldModel, ...]:
+    wire: list[WireResidentModel],
+) -> tuple[serving.ResidentModel, ...]:
     """Returns the models of a wire list, without adapters' versions."""
     return tuple(
-        serving.HeldModel(
+        serving.ResidentModel(
             one.name,
             frozenset(name.partition("@")[0] for name in one.adapters),
         )
--- a/sesamecross/platform/engine_api.py
+++ b/sesamecross/platform/engine_api.py
@@ -9,7 +9,7 @@
 
 from sesamecross.core import serving
 from sesamecross.platform import catalog
-from sesamecross.platform import outside
+from sesamecross.platform import untrusted
 
 REPORT_PATH = b"/v1/report"
 ORDER_PATH = b"/v1/order"
@@ -17,18 +17,18 @@
 
 
 class _WireReport(msgspec.Struct, frozen=True, rename="camel"):
-    born: outside.Number = 0
-    models: list[catalog.WireHeldModel] = []
+    born: untrusted.Number = 0
+    models: list[catalog.WireResidentModel] = []
     busy: bool = False
     # Orders accepted since the engine's start.
-    sequence: outside.Number = 0
+    sequence: untrusted.Number = 0
     # MODEL/ADAPTER@VERSION of adapters in transit.
     pending: list[str] = []
     available: catalog.WireCopies = catalog.WireCopies()
-    queued: outside.Number = 0
-    in_flight: outside.Number = 0
-    kv_used: outside.Number = 0
-    kv_total: outside.Number = 0
+    queued: untrusted.Number = 0
+    in_flight: untrusted.Number = 0
+    kv_used: untrusted.Number = 0
+    kv_total: untrusted.Number = 0
 
 
 _report_decoder = msgspec.json.Decoder(_WireReport)
@@ -37,8 +37,8 @@
 def report(body: bytes) -> serving.EngineReport | None:
     """Returns an engine's report, or None where the body holds none."""
     try:
-        wire = outside.decode(_report_decoder, body)
-    except outside.NotUnderstood:
+        wire = untrusted.decode(_report_decoder, body)
+    except untrusted.NotUnderstood:
         return None
     return serving.EngineReport(
         wire.born,
@@ -59,7 +59,7 @@
     fields: dict[str, object] = {
         "operation": "load" if order.loads else "unload",
         "model": order.model,
-        "precondition": order.after_orders,
+        "precondition": order.expected_order_count,
         "holder": order.holder,
         "fencingToken": order.fence,
     }
@@ -70,13 +70,13 @@
 
 _ANSWERS = {
     202: serving.OrderAnswer.ACCEPTED,
-    200: serving.OrderAnswer.ALREADY,
+    200: serving.OrderAnswer.ALREADY_DONE,
     409: serving.OrderAnswer.CONFLICT,
     412: serving.OrderAnswer.FENCED,
-    421: serving.OrderAnswer.OTHER_LIFE,
+    421: serving.OrderAnswer.OTHER_INCARNATION,
 }
 
 
-def order_answer(status: int) -> serving.OrderAnswer:
+def parse_order_answer(status: int) -> serving.OrderAnswer:
     """Returns what an engine's status says of an order."""
     return _ANSWERS.get(status, serving.OrderAnswer.REFUSED)
--- a/sesamecross/platform/headers.py
+++ b/sesamecross/platform/headers.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 from sesamecross.core import serving
-from sesamecross.ports import dialect
+from sesamecross.ports import http_codec
 
 _REQUEST_ID = b"request-id"
 _DEADLINE = b"deadline-ms"
@@ -58,10 +58,12 @@
 _NOT_FORWARDED = _CONNECTION_HEADERS | _SYSTEM_HEADERS
 
 
-def caller_head(headers: Iterable[serving.Header]) -> dialect.CallerHead:
+def parse_request_head(
+    headers: Iterable[serving.Header],
+) -> http_codec.RequestHead:
     """Reads a caller's headers; names are in lower case."""
     known = dict(headers)
-    return dialect.CallerHead(
+    return http_codec.RequestHead(
         known.get(_REQUEST_ID, b"").decode("latin-1"),
         _seconds(known.get(_DEADLINE)),
         known.get(_LAST_EVENT_ID, b"").decode("latin-1"),
@@ -108,8 +110,8 @@
     return tuple(parts)
 
 
-def to_upstream(
-    request: serving.Request, passing: dialect.Passing
+def upstream_request_headers(
+    request: serving.Request, passing: http_codec.ForwardContext
 ) -> list[serving.Header]:
     """Returns the headers under which a request is passed on."""
     dropped = _NOT_FORWARDED | _listed_in_connection(request.headers)
@@ -137,19 +139,21 @@
     return frozenset(names - {_REQUEST_ID, b"host", _MODEL, _TOKENS, _PARTS})
 
 
-def to_caller(headers: Iterable[serving.Header]) -> list[serving.Header]:
+def caller_response_headers(
+    headers: Iterable[serving.Header],
+) -> list[serving.Header]:
     """Returns the headers of an upstream's answer that are passed on."""
     return [one for one in headers if one[0] not in _CONNECTION_HEADERS]
 
 
-def answer_head(
+def parse_response_head(
     status: int, headers: Iterable[serving.Header]
-) -> dialect.AnswerHead:
+) -> http_codec.ResponseHead:
     """Reads the head of an upstream's answer."""
     known = dict(headers)
     is_misdirected = status == _MISDIRECTED
     content_type = known.get(b"content-type", b"")
-    return dialect.AnswerHead(
+    return http_codec.ResponseHead(
         known.get(_REQUEST_ID, b"").decode("latin-1"),
         bool(known.get(_SIGNATURE)),
         is_misdirected or _NOT_EXECUTED in known,
--- a/sesamecross/platform/program.py
+++ b/sesamecross/platform/program.py
@@ -8,7 +8,7 @@
 
 from sesamecross.gateway import app
 from sesamecross.platform import catalog
-from sesamecross.platform import dialect
+from sesamecross.platform import http_codec
 from sesamecross.platform import settings
 from sesamecross.platform import store_codec
 from sesamecross.runtime import application
@@ -26,7 +26,7 @@
     """Returns the platform's forms and names."""
     return app.PlatformAdapter(
         store_codec.StoreCodec(),
-        dialect.PlatformDialect(),
+        http_codec.PlatformHttpCodec(),
         store_codec.CONFIGURATION_TOPIC,
         store_codec.CONFIGURATION_KEY,
         store_codec.UPSTREAMS_TOPIC,
--- a/sesamecross/platform/settings.py
+++ b/sesamecross/platform/settings.py
@@ -21,7 +21,7 @@
 
 from sesamecross.core import errors
 from sesamecross.core import serving
-from sesamecross.platform import outside
+from sesamecross.platform import untrusted
 
 BOOT_VARIABLE = "SESAMECROSS_BOOT"
 MS = 0.001
@@ -188,20 +188,20 @@
         if one.is_senseless
     ]
     first, last = wire.internal_ports
-    if not 1 <= first <= last <= outside.LAST_PORT:
+    if not 1 <= first <= last <= untrusted.LAST_PORT:
         found.append(
             ("internalPorts", f"{first} to {last} is no range of ports")
         )
     if not 1 <= len(wire.node_name.encode()) <= LONGEST_NAME_BYTES:
         found.append(("nodeName", f"has not 1 to {LONGEST_NAME_BYTES} bytes"))
-    if not outside.is_ip(wire.ip):
+    if not untrusted.is_ip(wire.ip):
         found.append(("ip", f"is {wire.ip!r}, no IPv4 address"))
     for key, address in (
         ("listen.front", wire.listen.front),
         ("listen.ready", wire.listen.ready),
         ("platform.address", wire.platform.address),
     ):
-        if not outside.is_address(address):
+        if not untrusted.is_address(address):
             found.append((key, f"is {address!r}, not IP:PORT"))
     return found
 
--- a/sesamecross/platform/store_codec.py
+++ b/sesamecross/platform/store_codec.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from sesamecross.platform import outside
+from sesamecross.platform import untrusted
 from sesamecross.ports import store
 
 CONFIGURATION_TOPIC = "keyed.op"
@@ -30,20 +30,20 @@
 
 class _WireItem(msgspec.Struct, frozen=True):
     key: str
-    offset: outside.Number
+    offset: untrusted.Number
     value: str = ""
 
 
 class _WireNewest(msgspec.Struct, frozen=True, rename="camel"):
     items: list[_WireItem]
-    end: outside.Number
+    end: untrusted.Number
     has_more: bool = False
 
 
 class _WireEnd(msgspec.Struct, frozen=True):
-    end: outside.Number = 0
-    offset: outside.Number = 0
-    first: outside.Number = 0
+    end: untrusted.Number = 0
+    offset: untrusted.Number = 0
+    first: untrusted.Number = 0
 
 
 _newest_decoder = msgspec.json.Decoder(_WireNewest)
@@ -67,14 +67,14 @@
         if status != 200:
             return store.NotDone(f"status {status}")
         try:
-            wire = outside.decode(_newest_decoder, body)
-        except outside.NotUnderstood as error:
+            wire = untrusted.decode(_newest_decoder, body)
+        except untrusted.NotUnderstood as error:
             return store.NotDone(f"answer is not understood: {error}")
         records = tuple(
             store.KeyedRecord(item.key, _value(item), item.offset)
             for item in wire.items
         )
-        return store.Newest(records, wire.has_more, wire.end)
+        return store.NewestPage(records, wire.has_more, wire.end)
 
     def read(self, topic: str, offset: int, wait_s: float) -> store.StoreCall:
         """Returns the call that reads on from an offset."""
@@ -146,8 +146,8 @@
 
 def _numbers(body: bytes) -> _WireEnd:
     try:
-        return outside.decode(_end_decoder, body)
-    except outside.NotUnderstood:
+        return untrusted.decode(_end_decoder, body)
+    except untrusted.NotUnderstood:
         # The figures only save a call: a reader that goes on from 0 is told
         # again where to begin.
         return _WireEnd()
--- a/sesamecross/platform/store_codec_test.py
+++ b/sesamecross/platform/store_codec_test.py
@@ -25,7 +25,7 @@
     ]
     body = json.dumps({"items": items, "end": 3}, ensure_ascii=False)
     answer = CODEC.newest_answer(200, body.encode())
-    assert isinstance(answer, store.Newest)
+    assert isinstance(answer, store.NewestPage)
     assert [one.key for one in answer.records] == ["a", "b"]
     assert answer.records[1] == SOUND
     # It is there, so that its key does not count as dropped.
--- a/sesamecross/platform/outside.py
+++ b/sesamecross/platform/untrusted.py
@@ -17,7 +17,7 @@
 _LARGEST = 2**63 - 1
 
 Number = Annotated[int, msgspec.Meta(ge=-_LARGEST, le=_LARGEST)]
-NotNegative = Annotated[int, msgspec.Meta(ge=0, le=_LARGEST)]
+NonNegative = Annotated[int, msgspec.Meta(ge=0, le=_LARGEST)]
 Positive = Annotated[int, msgspec.Meta(ge=1, le=_LARGEST)]
 
 _Wire = TypeVar("_Wire")
--- a/sesamecross/ports/dialect.py
+++ b/sesamecross/ports/http_codec.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallerHead:
+class RequestHead:
     """What a caller's headers say of its request.
 
     Attributes:
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseHead:
     """What the head of an upstream's answer says.
 
     Attributes:
@@ -44,7 +44,7 @@
 
     request_id: str
     has_signature: bool
-    was_not_run: bool
+    was_not_executed: bool
     is_misdirected: bool
     is_encoded: bool
     is_event_stream: bool
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Passing:
+class ForwardContext:
     """What the system adds when it passes a request on.
 
     Attributes:
@@ -78,23 +78,25 @@
     body: bytes = b""
 
 
-class Dialect(Protocol):
+class HttpCodec(Protocol):
     """Reads and writes the platform's HTTP."""
 
-    def caller_head(self, headers: Iterable[serving.Header]) -> CallerHead:
+    def parse_request_head(
+        self, headers: Iterable[serving.Header]
+    ) -> RequestHead:
         """Reads a caller's headers; names are in lower case."""
 
-    def to_upstream(
-        self, request: serving.Request, passing: Passing
+    def upstream_request_headers(
+        self, request: serving.Request, passing: ForwardContext
     ) -> list[serving.Header]:
         """Returns the headers under which a request is passed on."""
 
-    def answer_head(
+    def parse_response_head(
         self, status: int, headers: Iterable[serving.Header]
-    ) -> AnswerHead:
+    ) -> ResponseHead:
         """Reads the head of an upstream's answer."""
 
-    def to_caller(
+    def caller_response_headers(
         self, headers: Iterable[serving.Header]
     ) -> list[serving.Header]:
         """Returns the headers of an answer that are passed on."""
@@ -113,5 +115,5 @@
     def order_call(self, order: serving.EngineOrder) -> ControlCall:
         """Returns the call that gives an engine an order."""
 
-    def order_answer(self, status: int) -> serving.OrderAnswer:
+    def parse_order_answer(self, status: int) -> serving.OrderAnswer:
         """Reads what an engine's status says of an order."""
--- a/sesamecross/ports/instances_http.py
+++ b/sesamecross/ports/instances_http.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Listed:
+class ListedInstance:
     """One line of the platform's list. `address` is a stream address."""
 
     instance: str
@@ -38,7 +38,7 @@
         self._url = f"{url}/instances"
         self._pool = http_client.pool(1, connect_s=1.0, read_s=2.0)
 
-    def read(self) -> Result[list[Listed], errors.Problem]:
+    def read(self) -> Result[list[ListedInstance], errors.Problem]:
         """Returns what the platform lists now."""
         try:
             response = self._pool.request("GET", self._url)
@@ -64,8 +64,8 @@
         )
 
 
-def _listed(line: dict) -> Listed:
-    return Listed(
+def _listed(line: dict) -> ListedInstance:
+    return ListedInstance(
         str(line["instance"]),
         str(line["zone"]),
         str(line["address"]),
--- a/sesamecross/ports/store.py
+++ b/sesamecross/ports/store.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Newest:
+class NewestPage:
     """One page of the newest records of a keyed topic.
 
     Attributes:
@@ -86,7 +86,7 @@
 
 
 ReadOutcome = Page | Expired | NotDone | Unknown
-NewestOutcome = Newest | NotDone | Unknown
+NewestOutcome = NewestPage | NotDone | Unknown
 AppendOutcome = Appended | Conflict | NotDone | Unknown
 
 
--- a/sesamecross/steward/hub.py
+++ b/sesamecross/steward/hub.py
@@ -60,7 +60,7 @@
     def _on_events(self, events: list[replay.AppliedRecord]) -> None:
         for event in events:
             # What this record causes here sorts behind its writing.
-            self._recorder.receive(hlc.Stamp(*event.stamp))
+            self._recorder.receive(hlc.Timestamp(*event.stamp))
             for listener in self._listeners:
                 listener(event)
             key = key_of(event.record)
--- a/sesamecross/steward/links.py
+++ b/sesamecross/steward/links.py
@@ -202,13 +202,13 @@
                 self._me.incarnation.instance,
                 self._recorder,
             )
-        except streams.StreamRefused:
+        except streams.StreamRefusedError:
             # Nobody listens there, and a steward listens for as long as it
             # lives: this incarnation is dead.
             if member.incarnation.started:
                 self._keeper.on_peer_death(member.incarnation)
             return False
-        except streams.StreamClosed:
+        except streams.StreamClosedError:
             return False
         self._spawn(self.serve(stream, name))
         return True
@@ -230,7 +230,7 @@
             return False
         try:
             self.bytes_sent += await one.stream.send(message)
-        except streams.StreamClosed:
+        except streams.StreamClosedError:
             return False
         return True
 
@@ -279,7 +279,7 @@
         self, one: _Open, forward: messages.ClaimForward
     ) -> None:
         reply = await self._desk.on_forward(forward)
-        with contextlib.suppress(streams.StreamClosed):
+        with contextlib.suppress(streams.StreamClosedError):
             await one.stream.send(reply)
 
     async def serve(self, stream: streams.Stream, name: str) -> None:
@@ -293,7 +293,7 @@
             await self._send_heartbeat(one)
             while True:
                 await self._receive(one, await stream.receive())
-        except streams.StreamClosed:
+        except streams.StreamClosedError:
             pass
         finally:
             stream.close()
@@ -377,7 +377,7 @@
         )
 
     async def _send_one(self, one: _Open) -> None:
-        with contextlib.suppress(streams.StreamClosed):
+        with contextlib.suppress(streams.StreamClosedError):
             await self._send_heartbeat(one)
             news = self._store.delta_for(one.link, ITEMS_PER_MESSAGE)
             if news:
@@ -409,7 +409,7 @@
             try:
                 await one.stream.send(messages.StateRequest(request_id))
                 snapshot = await asyncio.wait_for(future, STATE_WAIT_S)
-            except (streams.StreamClosed, TimeoutError):
+            except (streams.StreamClosedError, TimeoutError):
                 self._states.pop(request_id, None)
                 continue
             if snapshot is not None and self._hub.replica.install_snapshot(
@@ -445,7 +445,7 @@
             await asyncio.sleep(INSTANCES_S)
 
     def _introduce_listed(
-        self, line: instances_http.Listed, now_ms: int
+        self, line: instances_http.ListedInstance, now_ms: int
     ) -> None:
         # The list lags, so it only names addresses to try. The incarnation
         # is learnt from the peer itself.
--- a/sesamecross/steward/server.py
+++ b/sesamecross/steward/server.py
@@ -43,7 +43,7 @@
                 messages.EventsRequest(request_id, limit, call_id)
             )
             return list(await asyncio.wait_for(future, EVENTS_WAIT_S))
-        except (streams.StreamClosed, TimeoutError):
+        except (streams.StreamClosedError, TimeoutError):
             return None
         finally:
             self._events.pop(request_id, None)
@@ -120,7 +120,7 @@
                 reader, writer, self._shared_key, self._recorder
             )
             await self._serve(stream)
-        except streams.StreamClosed as error:
+        except streams.StreamClosedError as error:
             self._logger.debug("stream ended", reason=str(error))
         except asyncio.CancelledError:
             # Only `stop` cancels; the server itself must not see it as an
@@ -164,7 +164,7 @@
     async def _on_entry_message(
         self, session: EntrySession, message: object
     ) -> None:
-        with contextlib.suppress(streams.StreamClosed):
+        with contextlib.suppress(streams.StreamClosedError):
             match message:
                 case messages.ClaimRequest(request_id=request_id):
                     session.claims.add(message.claim.claim_id)
--- a/sesamecross/steward/views.py
+++ b/sesamecross/steward/views.py
@@ -103,7 +103,7 @@
         numbered = dataclasses.replace(view, number=self._number)
         try:
             await session.stream.send(messages.ViewUpdate(numbered))
-        except streams.StreamClosed:
+        except streams.StreamClosedError:
             self._signs = ()
             return
         self._sent_version = config.version
--- a/sesamecross/transport/streams.py
+++ b/sesamecross/transport/streams.py
@@ -53,35 +53,35 @@
     proof: bytes
 
 
-class StreamClosed(Exception):
+class StreamClosedError(Exception):
     """The stream ended, failed, or carried something invalid."""
 
 
-class StreamRefused(StreamClosed):
+class StreamRefusedError(StreamClosedError):
     """The address refuses connections: the process that had it is gone."""
 
 
 class Stamper(Protocol):
     """Gives and takes the stamps that every message carries."""
 
-    def now(self) -> hlc.Stamp:
+    def now(self) -> hlc.Timestamp:
         """Returns a stamp for a message that leaves."""
 
-    def receive(self, stamp: hlc.Stamp) -> None:
+    def receive(self, stamp: hlc.Timestamp) -> None:
         """Takes in the stamp of a message that arrived."""
 
 
 _STAMP_BYTES = 12
 
 
-def _pack_stamp(stamp: hlc.Stamp) -> bytes:
+def _pack_stamp(stamp: hlc.Timestamp) -> bytes:
     wall = stamp.wall_ms.to_bytes(8, "big")
     return wall + (stamp.count & 0xFFFFFFFF).to_bytes(4, "big")
 
 
-def _unpack_stamp(data: bytes) -> hlc.Stamp:
+def _unpack_stamp(data: bytes) -> hlc.Timestamp:
     wall = int.from_bytes(data[:8], "big")
-    return hlc.Stamp(wall, int.from_bytes(data[8:_STAMP_BYTES], "big"))
+    return hlc.Timestamp(wall, int.from_bytes(data[8:_STAMP_BYTES], "big"))
 
 
 class Stream:
@@ -128,7 +128,7 @@
                 await asyncio.wait_for(self._writer.drain(), SEND_S)
         except (OSError, TimeoutError, frames.FrameError) as error:
             self.close()
-            raise StreamClosed(str(error)) from error
+            raise StreamClosedError(str(error)) from error
         return len(frame)
 
     async def receive(self) -> Any:
@@ -142,14 +142,14 @@
             payload = await self._receive_payload()
         except (OSError, EOFError, frames.FrameError) as error:
             self.close()
-            raise StreamClosed(str(error)) from error
+            raise StreamClosedError(str(error)) from error
         self._stamper.receive(_unpack_stamp(payload))
         match codec.decode(payload[_STAMP_BYTES:]):
             case Success(message):
                 return message
             case Failure(problem):
                 self.close()
-                raise StreamClosed(str(problem))
+                raise StreamClosedError(str(problem))
 
     async def _receive_payload(self) -> bytes:
         header = await self._reader.readexactly(
@@ -194,11 +194,11 @@
             HANDSHAKE_S,
         )
     except ConnectionRefusedError as error:
-        raise StreamRefused(f"{address}: refused") from error
+        raise StreamRefusedError(f"{address}: refused") from error
     except (OSError, EOFError, TimeoutError, frames.FrameError) as error:
-        raise StreamClosed(f"{address}: {error or type(error).__name__}") from (
-            error
-        )
+        raise StreamClosedError(
+            f"{address}: {error or type(error).__name__}"
+        ) from (error)
 
 
 async def _connect(
@@ -240,7 +240,7 @@
         )
     except (OSError, EOFError, TimeoutError, frames.FrameError) as error:
         writer.close()
-        raise StreamClosed(str(error) or type(error).__name__) from error
+        raise StreamClosedError(str(error) or type(error).__name__) from error
 
 
 async def _accept(
--- a/sesamecross/transport/streams_test.py
+++ b/sesamecross/transport/streams_test.py
@@ -28,7 +28,7 @@
             while True:
                 received.append(await stream.receive())
                 await stream.send(received[-1])
-        except streams.StreamClosed as error:
+        except streams.StreamClosedError as error:
             received.append(str(error))
         finally:
             writer.close()
@@ -57,7 +57,7 @@
     async def story():
         received = []
         server, address = await serve(received, theirs)
-        with pytest.raises(streams.StreamClosed):
+        with pytest.raises(streams.StreamClosedError):
             await streams.connect(address, ours, "peer", "me", stamper())
         server.close()
         assert MESSAGE not in received
