--- a/sesamecross/fakes/order_desk_player.py
+++ b/sesamecross/fakes/placement_simulation.py
@@ -14,7 +14,7 @@
 from sesamecross.core import serving
 from sesamecross.fakes import engine_holdings
 from sesamecross.fakes import samples
-from sesamecross.gateway import order_desk
+from sesamecross.gateway import placement_controller
 from sesamecross.gateway import state as state_lib
 from sesamecross.runtime import metrics as metrics_lib
 
@@ -57,7 +57,7 @@
 _TURNS_OF_THE_LOOP = 4
 
 
-class Fate(enum.Enum):
+class Delivery(enum.Enum):
     """What becomes of a call to the engine.
 
     Attributes:
@@ -92,7 +92,7 @@
     def __init__(self) -> None:
         self.roster = _Roster()
 
-    def listen(self, listener) -> None:
+    def add_listener(self, listener) -> None:
         """Nothing is heard."""
 
     def next_number(self) -> int:
@@ -116,7 +116,7 @@
     answer: serving.OrderAnswer
 
 
-class Player:
+class Simulation:
     """An engine, its books, and the clock.
 
     Attributes:
@@ -130,7 +130,7 @@
 
     def __init__(self, models: tuple[str, ...] = ("m",)) -> None:
         self.engine = engine_holdings.EngineHoldings(ROOM, models)
-        self.fates: collections.deque[Fate] = collections.deque()
+        self.deliveries: collections.deque[Delivery] = collections.deque()
         self.report_age_s = 0.0
         self.late: list[engine_holdings.Order] = []
         self.wanted: set[str] = set()
@@ -172,14 +172,16 @@
         sent = engine_holdings.Order(
             order.loads, target, order.expected_order_count
         )
-        fate = self.fates.popleft() if self.fates else Fate.ANSWERED
-        if fate is Fate.LATE:
+        fate = (
+            self.deliveries.popleft() if self.deliveries else Delivery.ANSWERED
+        )
+        if fate is Delivery.LATE:
             self.late.append(sent)
             return serving.OrderAnswer.UNKNOWN
         answer = self._arrive(sent)
-        if fate is Fate.DOUBLED:
+        if fate is Delivery.DOUBLED:
             self._arrive(sent)
-        if fate is Fate.ANSWER_LOST:
+        if fate is Delivery.ANSWER_LOST:
             return serving.OrderAnswer.UNKNOWN
         self.answered.append(_Answered(order, answer))
         return answer
@@ -282,8 +284,8 @@
         while len(self._snapshots) > 1 and self._snapshots[1][0] <= oldest_s:
             self._snapshots.popleft()
 
-    def _new_desk(self) -> order_desk.OrderDesk:
+    def _new_desk(self) -> placement_controller.PlacementController:
         self._fence += 1
-        return order_desk.OrderDesk(
+        return placement_controller.PlacementController(
             self.state, _Mesh(), _Lease(self._fence), self, self.metrics
         )
--- a/sesamecross/gateway/app.py
+++ b/sesamecross/gateway/app.py
@@ -14,11 +14,11 @@
 from sesamecross.gateway import follower
 from sesamecross.gateway import forwarder as forwarder_lib
 from sesamecross.gateway import joiner
-from sesamecross.gateway import lease_keeper
+from sesamecross.gateway import lease_manager
 from sesamecross.gateway import listener
 from sesamecross.gateway import mesh as mesh_lib
-from sesamecross.gateway import order_desk
 from sesamecross.gateway import pacing as pacing_lib
+from sesamecross.gateway import placement_controller
 from sesamecross.gateway import registrar
 from sesamecross.gateway import reloader
 from sesamecross.gateway import state as state_lib
@@ -143,7 +143,7 @@
             adapter.configuration_topic,
             known.configuration,
             self._rng,
-            longest_pause_s=self.mesh.store_pause_s,
+            max_backoff_s=self.mesh.max_store_backoff_s,
         )
         upstreams = follower.Follower(
             client,
@@ -151,10 +151,10 @@
             known.upstreams,
             self._rng,
             store_polling.READ_INTERVAL_S,
-            self.mesh.reads_store,
-            self.mesh.store_pause_s,
+            self.mesh.should_read_store,
+            self.mesh.max_store_backoff_s,
         )
-        self.lease = lease_keeper.LeaseKeeper(
+        self.lease = lease_manager.LeaseManager(
             client,
             store_proxy.StoreProxy(client, self.mesh),
             f"{adapter.own_topic_prefix}lease",
@@ -162,7 +162,7 @@
             lambda: self.state.bounds.lease_s,
         )
         engines = engine_client.EngineClient(adapter.http_codec, self.metrics)
-        orders = order_desk.OrderDesk(
+        orders = placement_controller.PlacementController(
             self.state, self.mesh, self.lease, engines, self.metrics
         )
         self.forwarder.engines.want = orders.want
@@ -198,8 +198,8 @@
             ),
             sync.SyncPuller(self.mesh, self.state, known),
             self.lease,
-            sync.HolderWatch(
-                self.mesh, self.lease.is_candidate, self.lease.holder_ended
+            sync.HolderMonitor(
+                self.mesh, self.lease.is_candidate, self.lease.on_holder_exit
             ),
             orders,
             pacing,
@@ -241,7 +241,7 @@
             self.forwarder.uses.rows(),
             self.forwarder.engines.demand.rows(now_s),
             failing,
-            self.mesh.own_lease(now_s),
+            self.mesh.known_lease(now_s),
         )
 
     @property
@@ -298,8 +298,10 @@
         now_s = asyncio.get_running_loop().time()
         left_s = max(0.0, begun_s + self.state.bounds.grace_s - now_s)
         share_s = left_s * STORE_SHARE
-        self.lease.release_s = min(lease_keeper.RELEASE_S, share_s)
-        self._joiner.leave_s = min(joiner.LEAVE_S, share_s)
+        self.lease.release_timeout_s = min(
+            lease_manager.RELEASE_TIMEOUT_S, share_s
+        )
+        self._joiner.leave_timeout_s = min(joiner.LEAVE_TIMEOUT_S, share_s)
 
     def _stop(self, begun_s: float) -> stopping.Stop:
         """Returns the stop by the grace in force.
--- a/sesamecross/gateway/app_test.py
+++ b/sesamecross/gateway/app_test.py
@@ -561,7 +561,7 @@
     """
 
     async def silent(*_, **__):
-        await asyncio.sleep(store_client.CALL_S)
+        await asyncio.sleep(store_client.CALL_TIMEOUT_S)
         return store.Unknown("no answer in time")
 
     monkeypatch.setattr(store_client.StoreClient, "append", silent)
--- a/sesamecross/gateway/engine_client.py
+++ b/sesamecross/gateway/engine_client.py
@@ -8,7 +8,7 @@
 # An engine answers within the round trip between regions, or twice that on a
 # new connection. One that does not answer an order may carry it out much
 # later, so waiting longer is no use; the order is sent again.
-CALL_S = 0.3
+CALL_TIMEOUT_S = 0.3
 
 
 class EngineClient:
@@ -57,7 +57,11 @@
             caller = control_client.ControlClient(address)
             self._callers[address] = caller
         return await caller.call(
-            call.method, call.target, list(call.headers), call.body, CALL_S
+            call.method,
+            call.target,
+            list(call.headers),
+            call.body,
+            CALL_TIMEOUT_S,
         )
 
     def _count(self, what: str, outcome: control_client.Outcome) -> None:
--- a/sesamecross/gateway/order_books.py
+++ b/sesamecross/gateway/engine_tracker.py
@@ -68,7 +68,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Book:
+class TrackedEngine:
     """One engine's ledger and what is under way there.
 
     Attributes:
@@ -104,7 +104,7 @@
         return not self.inventory.is_fully_known or is_overdue or is_refused
 
 
-class OrderBooks:
+class EngineTracker:
     """The books on all engines, empty when the lease is taken.
 
     Attributes:
@@ -146,15 +146,15 @@
         self._spawn = spawn
         self._wake = wake
         self._log = logs.part("orders")
-        self._books: dict[str, Book] = {}
+        self._books: dict[str, TrackedEngine] = {}
 
-    def __getitem__(self, instance_id: str) -> Book:
+    def __getitem__(self, instance_id: str) -> TrackedEngine:
         return self._books[instance_id]
 
     def __contains__(self, instance_id: str) -> bool:
         return instance_id in self._books
 
-    def items(self) -> Iterable[tuple[str, Book]]:
+    def items(self) -> Iterable[tuple[str, TrackedEngine]]:
         """Returns the books by the engine's instance id."""
         return self._books.items()
 
@@ -169,7 +169,7 @@
             seen.add(entry.instance_id)
             book = self._books.get(entry.instance_id)
             if book is None or book.inventory.born_ms != entry.born_ms:
-                book = Book(
+                book = TrackedEngine(
                     engine_inventory.EngineInventory(
                         entry.instance_id, entry.born_ms
                     )
@@ -206,7 +206,7 @@
                 self._spawn(self._report(book, known))
 
     async def _report(
-        self, book: Book, known: directory_lib.KnownUpstream
+        self, book: TrackedEngine, known: directory_lib.KnownUpstream
     ) -> None:
         loop = asyncio.get_running_loop()
         book.is_calling = True
@@ -234,7 +234,7 @@
         self._wake()
 
     def _note_conflicts(
-        self, book: Book, before: int, report: serving.EngineReport
+        self, book: TrackedEngine, before: int, report: serving.EngineReport
     ) -> None:
         cause = conflict_cause(before, report)
         self._log.warning(
@@ -256,7 +256,7 @@
 
     def note_answer(
         self,
-        book: Book,
+        book: TrackedEngine,
         step: placement_types.Step,
         answer: serving.OrderAnswer,
         sent_s: float,
--- a/sesamecross/gateway/order_books_test.py
+++ b/sesamecross/gateway/engine_tracker_test.py
@@ -4,8 +4,8 @@
 import structlog
 
 from sesamecross.core import serving
-from sesamecross.fakes import order_desk_player as player_lib
-from sesamecross.gateway import order_books
+from sesamecross.fakes import placement_simulation as player_lib
+from sesamecross.gateway import engine_tracker
 
 
 def told(orders: int, is_busy: bool) -> serving.EngineReport:
@@ -25,21 +25,21 @@
 
 # The books' count, the engine's, whether it is busy, and what that tells.
 CAUSES = [
-    (3, 3, True, order_books.ConflictCause.UNDER_WAY),
-    (3, 2, True, order_books.ConflictCause.COUNT),
-    (3, 4, False, order_books.ConflictCause.COUNT),
-    (3, 3, False, order_books.ConflictCause.OVER),
+    (3, 3, True, engine_tracker.ConflictCause.UNDER_WAY),
+    (3, 2, True, engine_tracker.ConflictCause.COUNT),
+    (3, 4, False, engine_tracker.ConflictCause.COUNT),
+    (3, 3, False, engine_tracker.ConflictCause.OVER),
 ]
 
 
 @pytest.mark.parametrize(("books", "engine", "is_busy", "cause"), CAUSES)
 def test_a_report_tells_why_orders_were_refused(books, engine, is_busy, cause):
-    assert order_books.conflict_cause(books, told(engine, is_busy)) is cause
+    assert engine_tracker.conflict_cause(books, told(engine, is_busy)) is cause
 
 
 def test_orders_refused_in_a_row_leave_a_line_and_a_count():
     """Guards against engines that take no orders and nobody hears of it."""
-    player = player_lib.Player()
+    player = player_lib.Simulation()
     try:
         player.run(1.0)
         # Another holder's order, of which these books don't know.
--- a/sesamecross/gateway/follower.py
+++ b/sesamecross/gateway/follower.py
@@ -69,7 +69,7 @@
         rng: random.Random,
         every_s: float = 0.0,
         reads: Callable[[], bool] = lambda: True,
-        longest_pause_s: Callable[[], float] = lambda: (
+        max_backoff_s: Callable[[], float] = lambda: (
             store_polling.READER_MAX_BACKOFF_S
         ),
     ):
@@ -94,7 +94,7 @@
         self._pause_s = FIRST_PAUSE_S
         self._every_s = every_s
         self._reads = reads
-        self._longest_pause_s = longest_pause_s
+        self._longest_pause_s = max_backoff_s
 
     @property
     def name(self) -> str:
--- a/sesamecross/gateway/joiner.py
+++ b/sesamecross/gateway/joiner.py
@@ -7,7 +7,7 @@
 from sesamecross.gateway import registrar as registrar_lib
 
 # A planned stop does not wait longer for the store than this.
-LEAVE_S = 0.5
+LEAVE_TIMEOUT_S = 0.5
 
 
 class Joiner:
@@ -21,7 +21,7 @@
     is_vital = False
     name = "joiner"
 
-    __slots__ = ("leave_s", "_registrar", "_mesh", "_instance")
+    __slots__ = ("leave_timeout_s", "_registrar", "_mesh", "_instance")
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         mesh: mesh_lib.Mesh,
         instance: serving.Instance,
     ):
-        self.leave_s = LEAVE_S
+        self.leave_timeout_s = LEAVE_TIMEOUT_S
         self._registrar = registrar
         self._mesh = mesh
         self._instance = instance
@@ -43,5 +43,5 @@
     async def stop(self) -> None:
         """Takes the registration back, if there is one."""
         if self._mesh.roster is not None:
-            async with asyncio.timeout(self.leave_s):
+            async with asyncio.timeout(self.leave_timeout_s):
                 await self._registrar.leave()
--- a/sesamecross/gateway/lease_keeper.py
+++ b/sesamecross/gateway/lease_manager.py
@@ -23,7 +23,7 @@
 # How many instances watch the holder.
 CANDIDATES = 3
 # A planned stop does not wait longer for the store to take the lease back.
-RELEASE_S = store_client.CALL_S
+RELEASE_TIMEOUT_S = store_client.CALL_TIMEOUT_S
 
 
 class _LeaseRecord(msgspec.Struct, frozen=True):
@@ -40,7 +40,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Component around the lease's state machine.
 
     Attributes:
@@ -77,7 +77,7 @@
         self._log = logs.part("lease")
         self._probed_s = 0.0
         self._held = False
-        self.release_s = RELEASE_S
+        self.release_timeout_s = RELEASE_TIMEOUT_S
         self.machine: lease_lib.LeaseStateMachine | None = None
 
     @property
@@ -101,7 +101,7 @@
         """Whether this instance is among the next ones in line."""
         return self._mesh.roster is not None and self._rank() < CANDIDATES
 
-    def holder_ended(self, holder: fm.Member) -> None:
+    def on_holder_exit(self, holder: fm.Member) -> None:
         """The holder's port refuses connections: its process is over."""
         if self.machine is not None:
             self._log.info("holder's process is over", holder=holder.name)
@@ -134,7 +134,7 @@
         outcome = "no answer in time"
         # The call has left by then, and mostly takes effect all the same.
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self.release_s):
+            async with asyncio.timeout(self.release_timeout_s):
                 outcome = await self._release(record, at)
         self._log.info("given back", fence=fence, outcome=str(outcome))
         # Not before the store has it: who looks too early finds a lease that
--- a/sesamecross/gateway/lease_keeper_test.py
+++ b/sesamecross/gateway/lease_manager_test.py
@@ -10,7 +10,7 @@
 from sesamecross.core import serving
 from sesamecross.fakes import samples
 from sesamecross.gateway import app
-from sesamecross.gateway import lease_keeper
+from sesamecross.gateway import lease_manager
 from sesamecross.ops.fleet import lease as lease_lib
 from sesamecross.platform import program
 from sesamecross.platform import settings
@@ -56,7 +56,7 @@
     changed = dataclasses.replace(
         INSTANCE, bounds=dataclasses.replace(INSTANCE.bounds, lease_s=gap_s)
     )
-    monkeypatch.setattr(lease_keeper, "suspended_clock", lambda: START_S)
+    monkeypatch.setattr(lease_manager, "suspended_clock", lambda: START_S)
     steps = []
 
     async def step():
@@ -67,7 +67,7 @@
             raise asyncio.CancelledError
 
     monkeypatch.setattr(gateway.lease, "_step", step)
-    monkeypatch.setattr(lease_keeper, "STEP_S", 0)
+    monkeypatch.setattr(lease_manager, "STEP_S", 0)
 
     async def play():
         gateway.mesh.join(ME, b"", ())
@@ -91,7 +91,7 @@
     The lease's record could not be read, and reading it failed at each try
     in a way that the decoder did not expect.
     """
-    assert lease_keeper._decode(damaged, 5) is None
+    assert lease_manager._decode(damaged, 5) is None
 
 
 class _Topic:
@@ -108,7 +108,7 @@
 
     def __init__(self, release) -> None:
         self.now_s = START_S
-        self.writes: list[lease_keeper._LeaseRecord] = []
+        self.writes: list[lease_manager._LeaseRecord] = []
         self.is_slow = False
         self.answers = asyncio.Event()
         self.release = release
@@ -117,7 +117,7 @@
         if at not in (None, len(self.writes)):
             return store.Conflict(len(self.writes))
         self.writes.append(
-            msgspec.msgpack.decode(value, type=lease_keeper._LeaseRecord)
+            msgspec.msgpack.decode(value, type=lease_manager._LeaseRecord)
         )
         return store.Appended(len(self.writes) - 1)
 
@@ -126,14 +126,14 @@
         if self.writes:
             value = msgspec.msgpack.encode(self.writes[-1])
             at = len(self.writes) - 1
-            records = (store.KeyedRecord(lease_keeper.LEASE_KEY, value, at),)
+            records = (store.KeyedRecord(lease_manager.LEASE_KEY, value, at),)
         return store.NewestPage(records, False, len(self.writes))
 
     async def append(
         self, topic: str, key: str, value: bytes, at: int | None
     ) -> store.AppendOutcome:
         if msgspec.msgpack.decode(
-            value, type=lease_keeper._LeaseRecord
+            value, type=lease_manager._LeaseRecord
         ).is_released:
             return await self.release(self, value, at)
         answer = self.take(value, at)
@@ -173,7 +173,7 @@
     return answer
 
 
-def keeper_at(topic: _Topic, monkeypatch) -> lease_keeper.LeaseKeeper:
+def keeper_at(topic: _Topic, monkeypatch) -> lease_manager.LeaseManager:
     """Returns a keeper of an instance that the others know."""
     gateway = app.GatewayApp.from_config(
         INSTANCE, program.adapter(), settings.SettingsFile("")
@@ -182,8 +182,8 @@
     gateway.mesh.join(ME, b"secret", ())
     keeper = gateway.lease
     keeper._client = keeper._proxy = topic
-    monkeypatch.setattr(lease_keeper, "suspended_clock", lambda: topic.now_s)
-    monkeypatch.setattr(lease_keeper, "STEP_S", 0)
+    monkeypatch.setattr(lease_manager, "suspended_clock", lambda: topic.now_s)
+    monkeypatch.setattr(lease_manager, "STEP_S", 0)
     return keeper
 
 
@@ -238,7 +238,7 @@
     the next one held the lease. Whoever read the topic then found it free;
     the next holder went on until its renewal failed.
     """
-    other = lease_keeper._LeaseRecord("front-2", 5, 9, False)
+    other = lease_manager._LeaseRecord("front-2", 5, 9, False)
 
     async def lands_after_another(topic, value, at):
         topic.writes.append(other)
@@ -277,7 +277,7 @@
 
 
 @pytest.mark.parametrize("release", [is_answered_late, is_refused])
-@pytest.mark.parametrize("others", [1, lease_keeper.CANDIDATES])
+@pytest.mark.parametrize("others", [1, lease_manager.CANDIDATES])
 def test_the_next_in_line_hear_that_the_lease_was_given_back(
     monkeypatch, release, others
 ):
--- a/sesamecross/gateway/mesh.py
+++ b/sesamecross/gateway/mesh.py
@@ -145,7 +145,7 @@
         self.lease_heard_s = 0.0
         self.bytes_sent = 0
 
-    def listen(self, listener: MessageListener) -> None:
+    def add_listener(self, listener: MessageListener) -> None:
         """Adds who hears placements, wants and their answers."""
         self._listeners.append(listener)
 
@@ -275,14 +275,14 @@
         me = self.roster.me
         return self.roster.hub_of(me.zone, now_s) == me.name
 
-    def reads_store(self) -> bool:
+    def should_read_store(self) -> bool:
         """Whether this instance reads the list of upstreams itself."""
         if self.roster is None:
             return True
         now_s = asyncio.get_running_loop().time()
         return self._is_hub(now_s) or self._hub_reading.is_stalled(now_s)
 
-    def store_pause_s(self) -> float:
+    def max_store_backoff_s(self) -> float:
         """Returns the longest pause between calls that the store refuses."""
         if self.roster is None:
             return store_polling.READER_MAX_BACKOFF_S
@@ -444,7 +444,7 @@
             lease.holder, lease.incarnation, lease.fence, left_s
         )
 
-    def own_lease(self, now_s: float) -> fm.LeaseAnnouncement | None:
+    def known_lease(self, now_s: float) -> fm.LeaseAnnouncement | None:
         """Returns the lease as this instance knows it."""
         return self._lease_news(now_s)
 
--- a/sesamecross/gateway/pacing.py
+++ b/sesamecross/gateway/pacing.py
@@ -51,7 +51,7 @@
         # Instances that said that they stop, or this one, by name: which life.
         # They count as alive for a second more, and would be asked in vain.
         self._left: dict[str, int] = {}
-        mesh.listen(self._on_message)
+        mesh.add_listener(self._on_message)
 
     async def run(self) -> None:
         """Grants what lost reports hold back, and forgets idle engines."""
--- a/sesamecross/gateway/pacing_test.py
+++ b/sesamecross/gateway/pacing_test.py
@@ -32,7 +32,7 @@
         self._number = 0
         net[name] = self
 
-    def listen(self, listener) -> None:
+    def add_listener(self, listener) -> None:
         self._listeners.append(listener)
 
     def next_number(self) -> int:
--- a/sesamecross/gateway/order_desk.py
+++ b/sesamecross/gateway/placement_controller.py
@@ -12,10 +12,10 @@
 from sesamecross.core import fleet_messages as fm
 from sesamecross.core import serving
 from sesamecross.gateway import engine_client
-from sesamecross.gateway import lease_keeper
+from sesamecross.gateway import engine_tracker
+from sesamecross.gateway import lease_manager
 from sesamecross.gateway import mesh as mesh_lib
-from sesamecross.gateway import order_books
-from sesamecross.gateway import placement_teller
+from sesamecross.gateway import placement_publisher
 from sesamecross.gateway import state as state_lib
 from sesamecross.ops.fleet import demand_history
 from sesamecross.ops.fleet import duty_cycle
@@ -59,7 +59,7 @@
 WITHDRAWN_S = 8.0
 
 
-class OrderDesk:
+class PlacementController:
     """Component that plans and orders."""
 
     is_vital = False
@@ -69,7 +69,7 @@
         self,
         state: state_lib.State,
         mesh: mesh_lib.Mesh,
-        lease: lease_keeper.LeaseKeeper,
+        lease: lease_manager.LeaseManager,
         client: engine_client.EngineClient,
         metrics: metrics_lib.Metrics,
     ):
@@ -79,7 +79,7 @@
         self._client = client
         self._metrics = metrics
         self._log = logs.part("orders")
-        self._books = order_books.OrderBooks(
+        self._books = engine_tracker.EngineTracker(
             state,
             client,
             metrics,
@@ -87,7 +87,7 @@
             lambda: self._wake.set(),
         )
         self._wants: dict[tuple[str, str, str], float] = {}
-        self._teller = placement_teller.PlacementTeller(state, mesh)
+        self._teller = placement_publisher.PlacementPublisher(state, mesh)
         self._memory = demand_history.DemandHistory()
         self._budgets: dict[str, load_budget.LoadBudget] = {}
         self._withdrawn: dict[tuple[str, str], float] = {}
@@ -106,7 +106,7 @@
         self._begun_s = 0.0
         self._calls: set[asyncio.Task] = set()
         self._wake = asyncio.Event()
-        mesh.listen(self._on_message)
+        mesh.add_listener(self._on_message)
 
     async def run(self) -> None:
         """Works while the lease is held, for ever."""
@@ -189,7 +189,7 @@
         for instance_id, model in self._withdrawn:
             withdrawn.setdefault(instance_id, set()).add(model)
         places = [
-            placement_teller.place_of(
+            placement_publisher.engine_place(
                 book.inventory,
                 withdrawn.get(instance_id, set()),
                 self._planned.get(instance_id, {}),
@@ -487,7 +487,7 @@
 
     async def _order(
         self,
-        book: order_books.Book,
+        book: engine_tracker.TrackedEngine,
         step: placement_types.Step,
         order: serving.EngineOrder,
         budget: load_budget.LoadBudget,
--- a/sesamecross/gateway/order_desk_ends_test.py
+++ b/sesamecross/gateway/placement_controller_engine_exit_test.py
@@ -8,7 +8,7 @@
 
 from sesamecross.core import serving
 from sesamecross.fakes import samples
-from sesamecross.gateway import order_desk
+from sesamecross.gateway import placement_controller
 from sesamecross.gateway import state as state_lib
 from sesamecross.runtime import metrics as metrics_lib
 
@@ -51,7 +51,7 @@
     def __init__(self) -> None:
         self.told: list[object] = []
 
-    def listen(self, listener) -> None:
+    def add_listener(self, listener) -> None:
         """Nothing is heard."""
 
     def next_number(self) -> int:
@@ -120,7 +120,7 @@
     state = state_lib.State(samples.INSTANCE)
     state.offer_configuration(CONFIGURATION)
     mesh = _Mesh()
-    desk = order_desk.OrderDesk(
+    desk = placement_controller.PlacementController(
         state, mesh, _Lease(), _Engines(), metrics_lib.Metrics()
     )
     loop = asyncio.new_event_loop()
--- a/sesamecross/gateway/order_desk_books_test.py
+++ b/sesamecross/gateway/placement_controller_engine_state_test.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 import pytest
 
-from sesamecross.fakes import order_desk_player as player_lib
+from sesamecross.fakes import placement_simulation as player_lib
 
-FATES = list(player_lib.Fate)
+FATES = list(player_lib.Delivery)
 TARGETS = [*player_lib.MODELS, "m/a1", "m/a2", "m/a3", "n/a1", "n/a2"]
 # Until books that are wrong are put right, and the order that waits is given:
 # two answers to orders, a report's lag, an unload and a load.
@@ -17,7 +17,7 @@
 
 @pytest.fixture(name="player")
 def fixture_player():
-    player = player_lib.Player()
+    player = player_lib.Simulation()
     yield player
     player.close()
 
@@ -90,12 +90,12 @@
 
     def __init__(self):
         super().__init__()
-        self.player = player_lib.Player(("m", "n"))
+        self.player = player_lib.Simulation(("m", "n"))
 
-    @stateful.rule(fates=st.lists(st.sampled_from(FATES), max_size=3))
-    def calls_go_wrong(self, fates):
+    @stateful.rule(deliveries=st.lists(st.sampled_from(FATES), max_size=3))
+    def calls_go_wrong(self, deliveries):
         """The next orders are lost, late, doubled or answered in vain."""
-        self.player.fates.extend(fates)
+        self.player.deliveries.extend(deliveries)
 
     @stateful.rule(what=st.sets(st.sampled_from(TARGETS), max_size=3))
     def wait_for(self, what):
@@ -151,7 +151,7 @@
         player = self.player
         try:
             player.late.clear()
-            player.fates.clear()
+            player.deliveries.clear()
             for target, count in list(player.engine.uses.items()):
                 for _ in range(count):
                     player.end_use(target)
--- a/sesamecross/gateway/order_desk_load_test.py
+++ b/sesamecross/gateway/placement_controller_load_test.py
@@ -11,8 +11,8 @@
 
 from sesamecross.core import fleet_messages as fm
 from sesamecross.fakes import jumping_loop
-from sesamecross.fakes import order_desk_player as player_lib
-from sesamecross.gateway import order_desk
+from sesamecross.fakes import placement_simulation as player_lib
+from sesamecross.gateway import placement_controller
 
 TICK_WORK_S = 0.002
 PLAN_WORK_S = 0.03
@@ -23,7 +23,7 @@
 
 @pytest.fixture(name="player")
 def fixture_player():
-    player = player_lib.Player()
+    player = player_lib.Simulation()
     yield player
     player.close()
 
@@ -69,7 +69,7 @@
         self.lease = types.SimpleNamespace(holder="i2")
         self.roster = {"i2": "i2", "i3": "i3"}
 
-    def listen(self, listener) -> None:
+    def add_listener(self, listener) -> None:
         """Nothing is heard."""
 
     def next_number(self) -> int:
@@ -98,7 +98,7 @@
 
     async def play() -> None:
         loop = asyncio.get_running_loop()
-        desk = order_desk.OrderDesk(
+        desk = placement_controller.PlacementController(
             player.state, mesh, lease, player, player.metrics
         )
         for _ in range(20):
--- a/sesamecross/gateway/order_desk_test.py
+++ b/sesamecross/gateway/placement_controller_test.py
@@ -14,7 +14,7 @@
 from sesamecross.core import serving
 from sesamecross.fakes import samples
 from sesamecross.gateway import app
-from sesamecross.gateway import order_desk
+from sesamecross.gateway import placement_controller
 from sesamecross.platform import program
 from sesamecross.platform import settings
 
@@ -25,11 +25,11 @@
 SPEC = serving.EngineSpec(8, 1000, 100.0, 0, 4.0, 1, {})
 
 
-def desk_of(gateway) -> order_desk.OrderDesk:
+def desk_of(gateway) -> placement_controller.PlacementController:
     return next(
         one
         for one in gateway.components()
-        if isinstance(one, order_desk.OrderDesk)
+        if isinstance(one, placement_controller.PlacementController)
     )
 
 
@@ -109,7 +109,9 @@
     )
 
 
-def planned(specs, upstreams, steps=6) -> order_desk.OrderDesk:
+def planned(
+    specs, upstreams, steps=6
+) -> placement_controller.PlacementController:
     """Lets the giver of orders work for a while; it must not fail."""
 
     async def play():
--- a/sesamecross/gateway/placement_teller.py
+++ b/sesamecross/gateway/placement_publisher.py
@@ -19,7 +19,7 @@
 REFRESH_S = 1.5
 
 
-def place_of(
+def engine_place(
     inventory: engine_inventory.EngineInventory,
     withdrawn: set[str],
     planned: Mapping[str, float],
@@ -55,7 +55,7 @@
     )
 
 
-class PlacementTeller:
+class PlacementPublisher:
     """Tells the other instances, and takes in what they tell."""
 
     __slots__ = ("_state", "_mesh", "_told", "_waiting", "_refreshed_s")
--- a/sesamecross/gateway/placement_teller_test.py
+++ b/sesamecross/gateway/placement_publisher_test.py
@@ -6,7 +6,7 @@
 import pytest
 
 from sesamecross.core import fleet_messages as fm
-from sesamecross.gateway import placement_teller
+from sesamecross.gateway import placement_publisher
 from sesamecross.ops.fleet import engine_inventory
 
 ME = types.SimpleNamespace(name="i1")
@@ -50,9 +50,9 @@
     return fm.EnginePlacement(name, born_ms, orders, list(targets), [], [])
 
 
-def teller() -> tuple[placement_teller.PlacementTeller, _Mesh, _State]:
+def teller() -> tuple[placement_publisher.PlacementPublisher, _Mesh, _State]:
     mesh, state = _Mesh(), _State()
-    return placement_teller.PlacementTeller(state, mesh), mesh, state
+    return placement_publisher.PlacementPublisher(state, mesh), mesh, state
 
 
 def tell(one, *steps) -> None:
@@ -83,7 +83,7 @@
 
 def test_everything_is_told_anew_now_and_then():
     one, mesh, _ = teller()
-    again_s = 10.0 + placement_teller.REFRESH_S
+    again_s = 10.0 + placement_publisher.REFRESH_S
     tell(one, (10.0, [place()]), (again_s, [place()]))
     assert [len(told.engines) for told in mesh.broadcasts] == [1, 1]
 
@@ -123,7 +123,7 @@
     inventory.models = {"m1", "m2"}
     inventory.adapters = {"m1/a1", "m2/a1"}
     inventory.arriving = {"m3": 12.5}
-    told = placement_teller.place_of(
+    told = placement_publisher.engine_place(
         inventory, {"m1"}, {"m2": 11.0, "m4": 14.0}, 10.0
     )
     assert told == fm.EnginePlacement(
--- a/sesamecross/gateway/store_client.py
+++ b/sesamecross/gateway/store_client.py
@@ -13,7 +13,7 @@
 # A call that waits for nothing is answered in some milliseconds, in 50 times
 # that where the store is slow. Silence beyond this is taken for a dead
 # connection, early enough for a second try within the drain bound.
-CALL_S = 1.0
+CALL_TIMEOUT_S = 1.0
 # What a waiting read may take beyond its wait.
 WAIT_MARGIN_S = 1.0
 
@@ -42,7 +42,10 @@
     async def newest(self, topic: str, after: str) -> store.NewestOutcome:
         """Lists the newest record of each key, one page."""
         answer = await self._send(
-            "newest", self._caller, self._codec.newest(topic, after), CALL_S
+            "newest",
+            self._caller,
+            self._codec.newest(topic, after),
+            CALL_TIMEOUT_S,
         )
         if isinstance(answer, control_client.Answer):
             return self._codec.newest_answer(answer.status, answer.body)
@@ -74,7 +77,7 @@
             "append",
             self._caller,
             self._codec.append(topic, key, value, at),
-            CALL_S,
+            CALL_TIMEOUT_S,
         )
         if isinstance(answer, control_client.Answer):
             return self._codec.append_answer(answer.status, answer.body)
--- a/sesamecross/gateway/store_proxy.py
+++ b/sesamecross/gateway/store_proxy.py
@@ -22,7 +22,7 @@
 
 ROLE = "gateway"
 # The store's own time, and the way to another region and back.
-PROXY_S = store_client.CALL_S + 0.2
+PROXY_S = store_client.CALL_TIMEOUT_S + 0.2
 # The direct call alone has this long; then another instance is asked beside.
 ALONE_S = 0.3
 
--- a/sesamecross/gateway/sync.py
+++ b/sesamecross/gateway/sync.py
@@ -160,7 +160,7 @@
                 best = (source.configuration, source.upstreams)
             duration_s = self._lag.duration_s(mine, best, loop.time())
             patience_s = store_polling.MEMBER_FETCH_DELAY_S
-            if self._mesh.reads_store():
+            if self._mesh.should_read_store():
                 patience_s = store_polling.READER_FETCH_DELAY_S
             if source is not None and duration_s >= patience_s:
                 await self._pull(source)
@@ -194,7 +194,7 @@
             return
         before = self._state.version
         self._take(answer)
-        if self._state.version == before and not self._mesh.reads_store():
+        if self._state.version == before and not self._mesh.should_read_store():
             # The usual way of a member; what changed is logged by itself.
             return
         self._log.info(
@@ -243,7 +243,7 @@
             self._stream = None
 
 
-class HolderWatch:
+class HolderMonitor:
     """Component that keeps a stream to the lease's holder open."""
 
     is_vital = False
--- a/sesamecross/steward/app.py
+++ b/sesamecross/steward/app.py
@@ -26,7 +26,7 @@
 from sesamecross.steward import contacts as contacts_lib
 from sesamecross.steward import demand as demand_lib
 from sesamecross.steward import hub as hub_lib
-from sesamecross.steward import lease_keeper
+from sesamecross.steward import lease_manager
 from sesamecross.steward import links as links_lib
 from sesamecross.steward import log_reader
 from sesamecross.steward import log_writer
@@ -131,7 +131,7 @@
             settings.report_ms,
         )
         self.demand = demand_lib.Demand(self.me, self._store, self.recorder)
-        self.lease = lease_keeper.LeaseKeeper(
+        self.lease = lease_manager.LeaseManager(
             self.me,
             settings,
             self.hub,
--- a/sesamecross/steward/app_test.py
+++ b/sesamecross/steward/app_test.py
@@ -7,7 +7,7 @@
 from sesamecross.ops import leases
 from sesamecross.parser import settings as settings_lib
 from sesamecross.steward import app as app_lib
-from sesamecross.steward import lease_keeper
+from sesamecross.steward import lease_manager
 from sesamecross.steward import log_writer
 
 SETTINGS = settings_lib.StewardSettings(
@@ -40,7 +40,7 @@
         lease = leases.Lease("z", app.me.incarnation, 1)
         held = lease if holds_lease else None
         monkeypatch.setattr(
-            lease_keeper.LeaseKeeper, "held", lambda _keeper: held
+            lease_manager.LeaseManager, "held", lambda _keeper: held
         )
         monkeypatch.setattr(app_lib, "LEAVE_WAIT_S", 0.01)
         for number in range(log_writer.MAX_QUEUE):
--- a/sesamecross/steward/lease_keeper.py
+++ b/sesamecross/steward/lease_manager.py
@@ -26,7 +26,7 @@
 CHALLENGE_MS = 3000
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Component that holds the zone's lease when it is this steward's."""
 
     __slots__ = (
--- a/sesamecross/steward/mover.py
+++ b/sesamecross/steward/mover.py
@@ -23,7 +23,7 @@
 from sesamecross.runtime import logs
 from sesamecross.steward import demand as demand_lib
 from sesamecross.steward import hub as hub_lib
-from sesamecross.steward import lease_keeper
+from sesamecross.steward import lease_manager
 from sesamecross.steward import log_reader
 from sesamecross.steward import log_writer
 from sesamecross.steward import reporter as reporter_lib
@@ -63,7 +63,7 @@
         self,
         me: data.Member,
         hub: hub_lib.Hub,
-        lease: lease_keeper.LeaseKeeper,
+        lease: lease_manager.LeaseManager,
         reader: log_reader.LogReader,
         writer: log_writer.LogWriter,
         reporter: reporter_lib.Reporter,
