--- a/sesamecross/ops/catchup.py
+++ b/sesamecross/ops/catchup.py
@@ -1,9 +1,9 @@
 """How a replica of the shared state catches up with the log.
 
-Why: records expire, so an instance that starts late or was cut off for long
-finds a gap between what it has and what the log still holds. It may cross the
-gap only with a snapshot that covers it; replaying behind a gap would give a
-state that nobody else has.
+Records expire, so an instance that starts late or was disconnected for long
+finds a gap between its state and the oldest record on the log. It may cross
+the gap only with a snapshot that covers it: replaying from behind the gap
+would give a state that no other instance has.
 """
 
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class CatchupState(enum.Enum):
-    """Where a replica stands."""
+    """Whether a replica can apply what it reads."""
 
     FOLLOWING = "following"
     SEEKING_SNAPSHOT = "seeking-snapshot"
@@ -25,10 +25,11 @@
 
 
 class Replica:
-    """One instance's copy of the shared state. Deterministic.
+    """One instance's replica of the shared state. Deterministic.
 
     Attributes:
-      last_snapshot: The newest snapshot's `upto` seen on the log, or -1.
+      last_snapshot_offset: The highest `upto` of the snapshots read from the
+        log, or -1.
     """
 
     __slots__ = (
@@ -50,24 +51,28 @@
 
     @property
     def read_offset(self) -> int:
-        """The offset to read from next."""
+        """The log offset to read from next."""
         if self.progress is CatchupState.SEEKING_SNAPSHOT:
             return self._read_offset
         return self.state.next_offset
 
     def feed(self, start: int, payloads: tuple[bytes, ...]) -> None:
-        """Takes in records that stand on the log from `start` on."""
+        """Processes consecutive log records, the first of them at `start`."""
         if start > self.read_offset:
             self.progress = CatchupState.SEEKING_SNAPSHOT
             self._buffer.clear()
         for offset, payload in enumerate(payloads, start):
-            self._feed_one(offset, payload)
+            self._process_payload(offset, payload)
         self._read_offset = start + len(payloads)
 
     def install_snapshot(self, snapshot: records.StateSnapshot) -> bool:
-        """Takes a snapshot's state if it is newer than the own one.
+        """Replaces the state by a snapshot's if that is newer.
 
-        The state never goes back: an older offer changes nothing.
+        The state never goes back: an older or a damaged snapshot changes
+        nothing.
+
+        Returns:
+          Whether the snapshot was installed.
         """
         if snapshot.upto < self.state.next_offset:
             return False
@@ -78,11 +83,12 @@
         buffered = self._buffer
         self._buffer = []
         if self.progress is CatchupState.SEEKING_SNAPSHOT:
-            self._after_gap(buffered)
+            self._leave_gap(buffered)
         return True
 
-    def _after_gap(self, buffered: list[tuple[int, bytes]]) -> None:
-        # What was read behind the gap counts only if it joins the snapshot.
+    def _leave_gap(self, buffered: list[tuple[int, bytes]]) -> None:
+        # Records read after the gap can be applied only if the snapshot
+        # reaches up to the first of them.
         if buffered and buffered[0][0] > self.state.next_offset:
             self._buffer = buffered
             return
@@ -90,8 +96,8 @@
         for offset, payload in buffered:
             self._apply(offset, payload)
 
-    def _feed_one(self, offset: int, payload: bytes) -> None:
-        snapshot = snapshot_in(payload)
+    def _process_payload(self, offset: int, payload: bytes) -> None:
+        snapshot = decode_snapshot(payload)
         if snapshot is not None:
             self.last_snapshot_offset = max(
                 self.last_snapshot_offset, snapshot.upto
@@ -104,20 +110,20 @@
             self.install_snapshot(snapshot)
 
     def _apply(self, offset: int, payload: bytes) -> None:
-        events = self.state.apply(offset, payload)
-        if events:
-            self._listener(events)
+        applied_records = self.state.apply(offset, payload)
+        if applied_records:
+            self._listener(applied_records)
 
 
-# A snapshot is appended in an envelope of its own, so that a reader need not
-# decode every record to find it: its type name stands near the beginning.
-_SNAPSHOT_MARK = b"StateSnapshot"
-_MARK_WITHIN = 400
+# A snapshot is appended in an envelope of its own. Its type name stands near
+# the beginning, so a reader finds snapshots without decoding every record.
+_SNAPSHOT_TYPE_NAME = b"StateSnapshot"
+_TYPE_NAME_SEARCH_BYTES = 400
 
 
-def snapshot_in(payload: bytes) -> records.StateSnapshot | None:
-    """Returns the snapshot that a log record carries, if it is one."""
-    if _SNAPSHOT_MARK not in payload[:_MARK_WITHIN]:
+def decode_snapshot(payload: bytes) -> records.StateSnapshot | None:
+    """Returns the snapshot in a log record, or None if it holds none."""
+    if _SNAPSHOT_TYPE_NAME not in payload[:_TYPE_NAME_SEARCH_BYTES]:
         return None
     envelope = codec.decode(payload).value_or(None)
     if not isinstance(envelope, records.Envelope) or not envelope.entries:
--- a/sesamecross/ops/catchup_test.py
+++ b/sesamecross/ops/catchup_test.py
@@ -1,4 +1,4 @@
-"""Tests of a replica that catches up: gaps, snapshots, a naive replay."""
+"""Tests of a replica that catches up: gaps, snapshots, reference replay."""
 
 import random
 
@@ -47,14 +47,14 @@
 
 
 def history(seed, length=120):
-    """Returns payloads with snapshots, doubled appends and broken bytes."""
+    """Returns payloads with snapshots, duplicate appends and invalid bytes."""
     rng = random.Random(seed)
-    naive = replay.SharedState()
+    reference = replay.SharedState()
     payloads = []
     for number in range(length):
         kind = rng.random()
-        if kind < 0.05 and naive.next_offset:
-            payload = envelope(number, replay.snapshot(naive))
+        if kind < 0.05 and reference.next_offset:
+            payload = envelope(number, replay.snapshot(reference))
         elif kind < 0.1:
             payload = b"\x00 not an envelope"
         elif kind < 0.2 and payloads:
@@ -62,19 +62,19 @@
         else:
             payload = envelope(number, random_record(rng, number))
         payloads.append(payload)
-        naive.apply(number, payload)
-    return payloads, naive
+        reference.apply(number, payload)
+    return payloads, reference
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_any_pages_and_any_start_reach_the_naive_state(seed):
-    # An instance reads in pages of any size, reads some records twice, and
-    # may start when the first ones have expired. It reaches the state of a
-    # naive replay from the beginning, or says that it is still seeking.
-    payloads, naive = history(seed)
+def test_any_pages_and_any_start_reach_the_reference_state(seed):
+    # An instance reads pages of any size, reads some records twice, and may
+    # start after the first records have expired. It must reach the state of a
+    # replay from the beginning, or report that it still needs a snapshot.
+    payloads, reference = history(seed)
     rng = random.Random(seed)
     first = rng.choice((0, 0, rng.randrange(len(payloads))))
-    replica = catchup.Replica(lambda events: None)
+    replica = catchup.Replica(lambda applied_records: None)
     while True:
         start = max(first, replica.read_offset - rng.randrange(3))
         if replica.read_offset >= len(payloads):
@@ -82,35 +82,35 @@
         size = rng.randrange(1, 20)
         replica.feed(start, tuple(payloads[start : start + size]))
     if replica.progress is catchup.CatchupState.FOLLOWING:
-        assert replica.state.dump() == naive.dump()
+        assert replica.state.dump() == reference.dump()
     else:
         assert first > 0
 
 
 def test_an_older_offer_changes_nothing():
-    # C5: a peer offers a state that is older than the own one.
-    payloads, naive = history(3)
+    # C5: a peer offers a state that is older than the replica's own.
+    payloads, reference = history(3)
     older = replay.SharedState()
     for offset, payload in enumerate(payloads[:50]):
         older.apply(offset, payload)
-    replica = catchup.Replica(lambda events: None)
+    replica = catchup.Replica(lambda applied_records: None)
     replica.feed(0, tuple(payloads))
     assert not replica.install_snapshot(replay.snapshot(older))
-    assert replica.state.dump() == naive.dump()
+    assert replica.state.dump() == reference.dump()
 
 
 def test_a_peers_state_crosses_a_gap():
-    # C4: the log has expired what this replica needs and holds no snapshot;
-    # a peer's state joins what was read behind the gap.
-    payloads, naive = history(4)
-    plain = [p for p in payloads if catchup.snapshot_in(p) is None]
+    # C4: the records that this replica needs have expired and the log holds no
+    # snapshot. A peer's state reaches up to what was read after the gap.
+    payloads, reference = history(4)
+    plain = [p for p in payloads if catchup.decode_snapshot(p) is None]
     peer = replay.SharedState()
     whole = replay.SharedState()
     for offset, payload in enumerate(plain):
         whole.apply(offset, payload)
         if offset < 60:
             peer.apply(offset, payload)
-    replica = catchup.Replica(lambda events: None)
+    replica = catchup.Replica(lambda applied_records: None)
     replica.feed(40, tuple(plain[40:]))
     assert replica.progress is catchup.CatchupState.SEEKING_SNAPSHOT
     assert replica.install_snapshot(replay.snapshot(peer))
@@ -119,14 +119,14 @@
 
 @pytest.mark.parametrize("place", [0, 10, -1])
 def test_a_damaged_snapshot_is_refused(place):
-    _, naive = history(5)
-    snapshot = replay.snapshot(naive)
+    _, reference = history(5)
+    snapshot = replay.snapshot(reference)
     broken = bytearray(snapshot.data)
     broken[place] ^= 0xFF
-    replica = catchup.Replica(lambda events: None)
+    replica = catchup.Replica(lambda applied_records: None)
     bad = records.StateSnapshot(snapshot.upto, snapshot.digest, bytes(broken))
     assert not replica.install_snapshot(bad)
-    lying = records.StateSnapshot(
+    misnumbered = records.StateSnapshot(
         snapshot.upto + 5, snapshot.digest, snapshot.data
     )
-    assert not replica.install_snapshot(lying)
+    assert not replica.install_snapshot(misnumbered)
--- a/sesamecross/ops/claim_group.py
+++ b/sesamecross/ops/claim_group.py
@@ -1,24 +1,29 @@
 """One participant's part in deciding a zone's claims.
 
-Why: pass logs and orders must go on while the log is away and while a zone is
-cut off, and still no call runs twice. A key is therefore decided in one place
-in both weathers: by the group of its caller's home zone. A claim counts when
+Calls that must not run twice (pass logs and orders) have to go on while the
+log is unreachable and while a zone is partitioned, and still no call may run
+twice. Whether the log is reachable or not, a key is decided in one place: by
+the group of its caller's home zone. A claim is committed (`counted` in the
+record) when
 
 1. every member of the epoch that is not proved dead keeps it, and
 2. it is kept outside the zone as well: on the log, or by a witness in another
-   zone; or, where neither can be reached, all members are in the dark and
-   there are at least two of them. Nobody ever decides alone.
-
-A new epoch is active at a member only when all participants of the epochs
-since the last sealed one, but at most one, have stopped or are proved dead.
-The one that is left can't decide alone, so it can't decide at all. What those
-who stopped keep is taken over; where all members of an epoch are lost, claims
-made in the dark may be lost with them, and the zone is in doubt unless at
-most one of its members could have been in the dark.
-
-Deterministic: typed inputs and a time go in, typed actions come out. A proof
-of death is given by the shell: a refused connection or a newer incarnation
-at the address, never mere silence.
+   zone; or, if neither can be reached, all members are isolated and there
+   are at least two of them. No participant ever decides alone.
+
+A new epoch becomes active at a member only when, of the participants of the
+epochs since the last sealed one, all but at most one have stopped or are
+proved dead. The one that is left can't decide alone, so it can't decide at
+all. The claims kept by those that stopped are taken over. If all members of
+an epoch are lost, claims made in isolation may be lost with them, and the
+zone is in doubt unless at most one of its members could have been isolated.
+
+A participant is isolated when it has heard from neither the log nor any
+witness for `ISOLATION_TIMEOUT_MS`; messages call that `dark`.
+
+Deterministic: typed inputs and a time go in, typed actions come out. The
+caller supplies proofs of death: a refused connection or a newer incarnation
+at the address, never silence alone.
 """
 
 import dataclasses
@@ -29,18 +34,18 @@
 from sesamecross.ops import claims
 from sesamecross.ops import groups
 
-# A member that heard nothing from the log and from any witness for this long
-# is in the dark. A witness proves that a member died in contact only within
-# half of it; this is the one place where elapsed time (a rate, never the time
-# of day) counts, and it can only clear a doubt.
-DARK_MS = 4000
-IN_CONTACT_MS = DARK_MS // 2
-RESEND_MS = 250
-ASK_WITNESSES_AFTER_MS = 150
-GIVE_UP_MS = 2500
-DOUBT_AFTER_MS = 3000
-APPEND_AGAIN_MS = 5000
-APPEND_AGAIN_MOST = 500
+# A member that heard neither from the log nor from any witness for this long
+# is isolated. A witness proves that a member died in contact only within half
+# of this time. Nothing else here depends on elapsed time (on the clock's rate,
+# never on the time of day), and it can only clear a doubt.
+ISOLATION_TIMEOUT_MS = 4000
+IN_CONTACT_MS = ISOLATION_TIMEOUT_MS // 2
+RESEND_INTERVAL_MS = 250
+WITNESS_DELAY_MS = 150
+DECISION_TIMEOUT_MS = 2500
+DOUBT_DELAY_MS = 3000
+REAPPEND_INTERVAL_MS = 5000
+MAX_REAPPENDED_CLAIMS = 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -53,14 +58,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Append:
-    """Records for the log, in one append."""
+    """Records for the log, to be written in one append."""
 
     records: tuple[object, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """The answer to a claim; None where none can be had."""
+    """The answer to a claim; None if none can be given."""
 
     claim_id: str
     verdict: data.ClaimVerdict | None
@@ -68,7 +73,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Activated:
-    """This member may decide in its epoch now."""
+    """This member may decide in its epoch from now on."""
 
     epoch: int
     doubt: bool
@@ -78,22 +83,22 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Local:
-    """A claim kept here that the log is not known to hold.
+class _LocalClaim:
+    """A claim kept here that is not known to be on the log.
 
     Attributes:
-      counted: Whether it is known to have counted.
-      dark: Whether it was kept while this participant was in the dark.
+      counted: Whether it is known to be committed.
+      kept_while_isolated: Whether this participant was isolated then.
     """
 
     claim: records.ClaimMade
     counted: bool = False
     settled: records.ClaimSettled | None = None
-    dark: bool = False
+    kept_while_isolated: bool = False
 
 
 @dataclasses.dataclass(slots=True)
-class _Pending:
+class _PendingClaim:
     """A claim that this leader is deciding."""
 
     claim: records.ClaimMade
@@ -101,13 +106,15 @@
     asked_ms: int
     logged: bool = False
     witnesses_asked: bool = False
-    dark_acks: set[data.Incarnation] = dataclasses.field(default_factory=set)
+    isolated_acks: set[data.Incarnation] = dataclasses.field(
+        default_factory=set
+    )
     acks: set[data.Incarnation] = dataclasses.field(default_factory=set)
 
 
 @dataclasses.dataclass(slots=True)
-class _Collect:
-    """The way to being active in an epoch."""
+class _EpochTransition:
+    """Progress of this member towards being active in an epoch."""
 
     epoch: int
     began_ms: int
@@ -118,7 +125,7 @@
 
 
 class ClaimGroup:
-    """One zone's group as seen by one participant."""
+    """One zone's claim group as seen by one participant."""
 
     def __init__(
         self,
@@ -133,23 +140,23 @@
         self._groups = group_state
         self._table = table
         self._next_offset = 0
-        self._active = 0
-        self._was_active: set[int] = set()
-        self._fenced = 0
-        self._local: dict[str, _Local] = {}
-        self._name_of: dict[str, str] = {}
-        self._pending: dict[str, _Pending] = {}
-        self._collect: _Collect | None = None
-        self._dead: set[data.Incarnation] = set()
-        self._in_contact: set[data.Incarnation] = set()
-        # Set while this member is in doubt and its seal, which says so to
-        # all, is not on the log yet.
-        self._doubt = False
-        self._log_ok = True
-        self._touch_ms = now_ms
-        self._appended_ms = now_ms
-
-    # -- what is known ----------------------------------------------------
+        self._active_epoch = 0
+        self._past_active_epochs: set[int] = set()
+        self._fenced_epoch = 0
+        self._local_claims: dict[str, _LocalClaim] = {}
+        self._name_by_claim_id: dict[str, str] = {}
+        self._pending: dict[str, _PendingClaim] = {}
+        self._transition: _EpochTransition | None = None
+        self._dead_peers: set[data.Incarnation] = set()
+        self._died_in_contact: set[data.Incarnation] = set()
+        # True while this member is in doubt and its seal, which tells all
+        # others of the doubt, is not on the log yet.
+        self._has_unsealed_doubt = False
+        self._is_log_reachable = True
+        self._last_contact_ms = now_ms
+        self._last_reappend_ms = now_ms
+
+    # -- state -------------------------------------------------------------
 
     @property
     def config(self) -> groups.GroupConfig | None:
@@ -167,90 +174,95 @@
     def is_active(self) -> bool:
         """Whether this member may decide and keep claims now."""
         config = self.config
-        return config is not None and self._active == config.epoch
+        return config is not None and self._active_epoch == config.epoch
 
     @property
     def leader(self) -> data.Incarnation | None:
-        """Who decides: the first member that is not proved dead."""
+        """The deciding member: the first one that is not proved dead."""
         config = self.config
         if config is None:
             return None
         for member in config.members:
-            if member not in self._dead:
+            if member not in self._dead_peers:
                 return member
         return None
 
     @property
     def kept(self) -> int:
-        """Claims kept here that are not known to be on the log."""
-        return len(self._local)
+        """Number of claims kept here that are not known to be on the log."""
+        return len(self._local_claims)
 
     @property
     def isolated_claim_count(self) -> int:
-        """Claims kept in the dark that are still not on the log.
+        """Number of claims kept in isolation that are not on the log yet.
 
         While this is not 0, dying in contact proves nothing.
         """
-        return sum(local.dark for local in self._local.values())
+        return sum(
+            local.kept_while_isolated for local in self._local_claims.values()
+        )
 
-    def is_dark(self, now_ms: int) -> bool:
-        """Tells whether log and witnesses have been away for long."""
-        return not self._log_ok and now_ms - self._touch_ms >= DARK_MS
+    def is_isolated(self, now_ms: int) -> bool:
+        """Tells whether log and witnesses have been out of reach for long."""
+        return (
+            not self._is_log_reachable
+            and now_ms - self._last_contact_ms >= ISOLATION_TIMEOUT_MS
+        )
 
     def replace_state(
         self, group_state: groups.GroupState, table: claims.ClaimTable
     ) -> None:
-        """Takes in a replayed state that was adopted from elsewhere."""
+        """Uses a replayed state that was installed from elsewhere."""
         self._groups = group_state
         self._table = table
 
-    # -- inputs: the world ---------------------------------------------------
+    # -- inputs: log and peers ----------------------------------------------
 
     def set_log_reachable(self, reachable: bool, now_ms: int) -> None:
-        """The log answers, or does not."""
-        self._log_ok = reachable
+        """Records whether the log answers."""
+        self._is_log_reachable = reachable
         if reachable:
-            self._touch_ms = now_ms
+            self._last_contact_ms = now_ms
 
     def on_peer_heartbeat(self, peer: data.Incarnation, now_ms: int) -> None:
-        """A heartbeat came from a peer."""
+        """Handles a heartbeat from a peer."""
         config = self.config
         if config is not None and peer in config.witnesses:
-            self._touch_ms = now_ms
+            self._last_contact_ms = now_ms
 
     def on_peer_death(
         self, peer: data.Incarnation, in_contact: bool, now_ms: int
     ) -> list[Action]:
-        """A peer is dead.
+        """Handles a proof that a peer is dead.
 
         Args:
-          peer: Who.
+          peer: The dead incarnation.
           in_contact: Whether it answered a heartbeat of this participant
             that was sent within `IN_CONTACT_MS` before the proof.
           now_ms: Monotonic time.
         """
-        self._dead.add(peer)
+        self._dead_peers.add(peer)
         if in_contact:
-            self._in_contact.add(peer)
-        return self._progress(now_ms)
+            self._died_in_contact.add(peer)
+        return self._advance(now_ms)
 
     def on_replayed(self, next_offset: int, now_ms: int) -> list[Action]:
-        """The log was replayed up to an offset."""
+        """Handles that the log was replayed up to an offset."""
         self._next_offset = max(self._next_offset, next_offset)
-        self._drop_logged()
-        return self._progress(now_ms)
+        self._drop_logged_claims()
+        return self._advance(now_ms)
 
-    def _drop_logged(self) -> None:
-        """Stops keeping what the log is seen to hold as far as known."""
-        for local in list(self._local.values()):
+    def _drop_logged_claims(self) -> None:
+        """Drops claims that the log holds with all that is known of them."""
+        for local in list(self._local_claims.values()):
             claim_id = local.claim.claim_id
             if claim_id in self._pending:
                 continue
-            in_log = self._table.by_name.get(_name(local.claim))
+            in_log = self._table.by_name.get(_claim_name(local.claim))
             if in_log is None or in_log.claim_id != claim_id:
                 continue
             if local.settled is None or in_log.executed is not None:
-                self._drop(claim_id)
+                self._drop_claim(claim_id)
 
     def on_claim_record(
         self,
@@ -258,21 +270,21 @@
         verdict: data.ClaimVerdict | None,
         now_ms: int,
     ) -> list[Action]:
-        """A claim of this zone stands on the log."""
+        """Handles a claim of this zone that is on the log."""
         pending = self._pending.get(record.claim_id)
         won = verdict is not None and verdict.state is data.ClaimState.WON
         if pending is not None and won:
             pending.logged = True
-        return self._progress(now_ms)
+        return self._advance(now_ms)
 
     def on_settled_record(self, record: records.ClaimSettled) -> None:
-        """An outcome stands on the log; nothing need be kept of it."""
-        self._drop(record.claim_id)
+        """Drops a claim whose outcome is on the log."""
+        self._drop_claim(record.claim_id)
 
     # -- inputs: claims ------------------------------------------------------
 
     def claim(self, record: records.ClaimMade, now_ms: int) -> list[Action]:
-        """Begins to decide a claim at the leader."""
+        """Starts to decide a claim; only the active leader does so."""
         config = self.config
         if not self.is_active or self.leader != self._me:
             return [Verdict(record.claim_id, None)]
@@ -281,92 +293,96 @@
         record = dataclasses.replace(
             record, zone=self._zone, epoch=config.epoch, counted=False
         )
-        known = self._known(record)
+        known = self._existing_verdict(record)
         if known is not None:
             return [Verdict(record.claim_id, known)]
         if self._in_doubt():
-            # Nobody alive can tell whether this key has run.
+            # No live participant knows whether this key has run.
             unknown = data.ClaimVerdict(data.ClaimState.UNKNOWN, "")
             return [Verdict(record.claim_id, unknown)]
-        self._keep(record, now_ms)
-        pending = _Pending(record, now_ms, now_ms)
+        self._keep_claim(record, now_ms)
+        pending = _PendingClaim(record, now_ms, now_ms)
         self._pending[record.claim_id] = pending
         actions: list[Action] = []
-        if self._log_ok:
+        if self._is_log_reachable:
             actions.append(Append((record,)))
-        actions += self._ask_all(pending, now_ms)
-        return actions + self._try_count(pending, now_ms)
+        actions += self._send_asks(pending, now_ms)
+        return actions + self._try_commit(pending, now_ms)
 
     def _in_doubt(self) -> bool:
         group = self._groups.zones[self._zone]
-        if self._doubt and group.sealed >= max(self._was_active, default=0):
-            self._doubt = False
-        return self._doubt or group.doubt
+        if self._has_unsealed_doubt and group.sealed >= max(
+            self._past_active_epochs, default=0
+        ):
+            self._has_unsealed_doubt = False
+        return self._has_unsealed_doubt or group.doubt
 
     def look_up(self, record: records.ClaimMade) -> data.ClaimVerdict | None:
-        """Returns what is known of the claim that holds a name."""
-        return self._known(record)
+        """Returns the verdict of the claim that holds a name, if any."""
+        return self._existing_verdict(record)
 
     def settle(self, settled: records.ClaimSettled) -> list[Action]:
-        """Takes in an outcome from whoever dispatched the call."""
-        local = self._local_of(settled.claim_id)
+        """Handles an outcome from the instance that dispatched the call."""
+        local = self._local_claim(settled.claim_id)
         if local is not None and local.settled is None:
             local.settled = settled
         config = self.config
         kept: tuple[object, ...] = ()
         if local is not None and settled.executed:
-            # The claim may reach the log behind its outcome, which would
-            # then be lost: both go in one append.
+            # If the claim reached the log after its outcome, the outcome
+            # would be lost, so both go in one append.
             kept = (dataclasses.replace(local.claim, counted=True),)
         actions: list[Action] = [Append((*kept, settled))]
         if config is not None:
-            told = gm.ClaimTold(self._zone, settled)
+            outcome_message = gm.ClaimTold(self._zone, settled)
             actions += [
-                Send(peer, told)
+                Send(peer, outcome_message)
                 for peer in config.participants
-                if peer != self._me and peer not in self._dead
+                if peer != self._me and peer not in self._dead_peers
             ]
         return actions
 
-    def _known(self, record: records.ClaimMade) -> data.ClaimVerdict | None:
+    def _existing_verdict(
+        self, record: records.ClaimMade
+    ) -> data.ClaimVerdict | None:
         """Returns the verdict of an earlier claim of the same name."""
-        name = _name(record)
+        name = _claim_name(record)
         in_log = self._table.by_name.get(name)
         if in_log is not None and in_log.claim_id != record.claim_id:
             return claims.verdict_of(self._table, in_log, record.call_digest)
-        local = self._local.get(name)
+        local = self._local_claims.get(name)
         if local is None or local.claim.claim_id == record.claim_id:
             return None
         return self._verdict_of_local(local, record)
 
     def _verdict_of_local(
-        self, local: _Local, record: records.ClaimMade
+        self, local: _LocalClaim, record: records.ClaimMade
     ) -> data.ClaimVerdict:
         claim = claims.Claim(
             local.claim.claim_id,
-            _name(local.claim),
+            _claim_name(local.claim),
             local.claim.call_digest,
             local.claim.holder,
             True if local.settled else None,
             local.settled.answer if local.settled else None,
         )
         verdict = claims.verdict_of(self._table, claim, record.call_digest)
-        gone = claim.holder in self._dead
-        if verdict.state is data.ClaimState.IN_PROGRESS and gone:
+        is_holder_dead = claim.holder in self._dead_peers
+        if verdict.state is data.ClaimState.IN_PROGRESS and is_holder_dead:
             return dataclasses.replace(verdict, state=data.ClaimState.UNKNOWN)
         return verdict
 
     # -- deciding ------------------------------------------------------------
 
-    def _ask_all(self, pending: _Pending, now_ms: int) -> list[Action]:
-        """Asks the members, and the witnesses where the log won't do."""
+    def _send_asks(self, pending: _PendingClaim, now_ms: int) -> list[Action]:
+        """Asks the members, and the witnesses if the log is down or slow."""
         config = self.config
         pending.asked_ms = now_ms
-        asked = list(config.members)
+        recipients = list(config.members)
         waited_ms = now_ms - pending.began_ms
-        if not self._log_ok or waited_ms >= ASK_WITNESSES_AFTER_MS:
+        if not self._is_log_reachable or waited_ms >= WITNESS_DELAY_MS:
             pending.witnesses_asked = True
-            asked += config.witnesses
+            recipients += config.witnesses
         ask = gm.ClaimAsk(
             self._zone,
             config.epoch,
@@ -376,19 +392,20 @@
         )
         return [
             Send(peer, ask)
-            for peer in asked
-            if peer not in (self._me, *pending.acks) and peer not in self._dead
+            for peer in recipients
+            if peer not in (self._me, *pending.acks)
+            and peer not in self._dead_peers
         ]
 
     def on_ask(self, ask: gm.ClaimAsk, now_ms: int) -> gm.ClaimAck:
         """Keeps a claim for the leader of its epoch, if that is allowed."""
-        granted = self._may_keep(ask)
+        granted = self._may_grant(ask)
         known = None
         if granted:
-            known = self._conflict(ask.claim)
+            known = self._conflicting_claim(ask.claim)
             granted = known is None
         if granted:
-            self._keep(ask.claim, now_ms)
+            self._keep_claim(ask.claim, now_ms)
         return gm.ClaimAck(
             self._zone,
             ask.epoch,
@@ -396,24 +413,26 @@
             self._me,
             granted,
             known,
-            self.is_dark(now_ms),
+            self.is_isolated(now_ms),
         )
 
-    def _may_keep(self, ask: gm.ClaimAsk) -> bool:
-        if ask.epoch < self._fenced:
+    def _may_grant(self, ask: gm.ClaimAsk) -> bool:
+        if ask.epoch < self._fenced_epoch:
             return False
         if self._me in ask.members:
-            # A member keeps claims only once it is active in the epoch, so
-            # that it knows all earlier claims.
-            return self._active == ask.epoch
+            # A member keeps claims only while it is active in the epoch,
+            # because only then does it know all earlier claims.
+            return self._active_epoch == ask.epoch
         if self._me in ask.witnesses:
-            self._fenced = max(self._fenced, ask.epoch)
+            self._fenced_epoch = max(self._fenced_epoch, ask.epoch)
             return True
         return False
 
-    def _conflict(self, claim: records.ClaimMade) -> gm.ReplicatedClaim | None:
-        name = _name(claim)
-        local = self._local.get(name)
+    def _conflicting_claim(
+        self, claim: records.ClaimMade
+    ) -> gm.ReplicatedClaim | None:
+        name = _claim_name(claim)
+        local = self._local_claims.get(name)
         if local is not None and local.claim.claim_id != claim.claim_id:
             return gm.ReplicatedClaim(local.claim, local.settled)
         in_log = self._table.by_name.get(name)
@@ -433,7 +452,7 @@
         return gm.ReplicatedClaim(kept, settled)
 
     def on_ack(self, ack: gm.ClaimAck, now_ms: int) -> list[Action]:
-        """Takes in a participant's answer."""
+        """Handles a participant's answer."""
         pending = self._pending.get(ack.claim_id)
         config = self.config
         if pending is None or config is None or ack.epoch != config.epoch:
@@ -441,58 +460,60 @@
         if ack.granted:
             pending.acks.add(ack.sender)
             if ack.dark:
-                pending.dark_acks.add(ack.sender)
-            return self._try_count(pending, now_ms)
+                pending.isolated_acks.add(ack.sender)
+            return self._try_commit(pending, now_ms)
         if ack.known is None:
             return []
-        # A claim that this leader did not know: it may have counted under an
-        # earlier leader, so it holds the name.
+        # This leader did not know the claim. It may have been committed under
+        # an earlier leader, so it holds the name.
         verdict = self._verdict_of_local(
-            _Local(ack.known.claim, True, ack.known.settled), pending.claim
+            _LocalClaim(ack.known.claim, True, ack.known.settled), pending.claim
         )
         return self._withdraw(pending, verdict)
 
-    def _try_count(self, pending: _Pending, now_ms: int) -> list[Action]:
+    def _try_commit(self, pending: _PendingClaim, now_ms: int) -> list[Action]:
         config = self.config
         if not self.is_active or pending.claim.epoch != config.epoch:
             return []
         others = {
             member
             for member in config.members
-            if member != self._me and member not in self._dead
+            if member != self._me and member not in self._dead_peers
         }
         if not others <= pending.acks:
             return []
-        outside = pending.logged or any(
+        is_kept_outside_zone = pending.logged or any(
             witness in pending.acks for witness in config.witnesses
         )
-        if not outside:
-            all_dark = self.is_dark(now_ms) and others <= pending.dark_acks
-            if not (all_dark and others):
+        if not is_kept_outside_zone:
+            all_isolated = (
+                self.is_isolated(now_ms) and others <= pending.isolated_acks
+            )
+            if not (all_isolated and others):
                 return []
-        return self._count(pending)
+        return self._commit(pending)
 
-    def _count(self, pending: _Pending) -> list[Action]:
+    def _commit(self, pending: _PendingClaim) -> list[Action]:
         claim = pending.claim
         del self._pending[claim.claim_id]
         won = data.ClaimVerdict(data.ClaimState.WON, claim.claim_id)
         actions: list[Action] = [Verdict(claim.claim_id, won)]
         if pending.logged:
-            self._drop(claim.claim_id)
+            self._drop_claim(claim.claim_id)
             return actions
-        local = self._local_of(claim.claim_id)
+        local = self._local_claim(claim.claim_id)
         local.counted = True
         local.claim = dataclasses.replace(claim, counted=True)
         actions.append(Append((local.claim,)))
         return actions
 
     def _withdraw(
-        self, pending: _Pending, verdict: data.ClaimVerdict | None
+        self, pending: _PendingClaim, verdict: data.ClaimVerdict | None
     ) -> list[Action]:
-        """Gives up a claim that did not count; its call never ran."""
+        """Withdraws a claim that was not committed; its call never ran."""
         claim_id = pending.claim.claim_id
         del self._pending[claim_id]
-        self._drop(claim_id)
+        self._drop_claim(claim_id)
         config = self.config
         withdrawn = gm.ClaimWithdrawn(self._zone, claim_id)
         actions: list[Action] = [Verdict(claim_id, verdict)]
@@ -501,253 +522,284 @@
             actions += [
                 Send(peer, withdrawn)
                 for peer in config.participants
-                if peer != self._me and peer not in self._dead
+                if peer != self._me and peer not in self._dead_peers
             ]
         return actions
 
     def on_withdrawn(self, message: gm.ClaimWithdrawn) -> None:
-        """The leader gave a claim up before it counted."""
-        self._drop(message.claim_id)
+        """Drops a claim that the leader withdrew before it was committed."""
+        self._drop_claim(message.claim_id)
 
     def on_told(self, message: gm.ClaimTold) -> None:
-        """Keeps an outcome until the log has it."""
+        """Keeps an outcome until it is on the log."""
         settled = message.settled
         if not settled.executed:
-            self._drop(settled.claim_id)
+            self._drop_claim(settled.claim_id)
             return
-        local = self._local_of(settled.claim_id)
+        local = self._local_claim(settled.claim_id)
         if local is not None and local.settled is None:
             local.settled = settled
 
     # -- epochs --------------------------------------------------------------
 
     def on_fence(self, fence: gm.GroupFence) -> gm.GroupFenced:
-        """Stops keeping claims of earlier epochs; hands over what is kept."""
-        self._fenced = max(self._fenced, fence.epoch)
-        if self._active and self._active < fence.epoch:
-            self._active = 0
+        """Stops keeping claims of earlier epochs and hands over those kept."""
+        self._fenced_epoch = max(self._fenced_epoch, fence.epoch)
+        if self._active_epoch and self._active_epoch < fence.epoch:
+            self._active_epoch = 0
         kept = tuple(
             gm.ReplicatedClaim(local.claim, local.settled)
-            for local in self._local.values()
+            for local in self._local_claims.values()
         )
         return gm.GroupFenced(
             self._zone,
             fence.epoch,
             self._me,
             self._next_offset,
-            max(self._was_active, default=0),
+            max(self._past_active_epochs, default=0),
             kept,
-            tuple(sorted(self._in_contact)),
+            tuple(sorted(self._died_in_contact)),
             self._zone in self._groups.zones and self._in_doubt(),
         )
 
     def on_fenced(self, reply: gm.GroupFenced, now_ms: int) -> list[Action]:
-        """Takes in that a participant of earlier epochs has stopped."""
-        if self._collect is not None and self._collect.epoch == reply.epoch:
-            self._collect.replies[reply.sender] = reply
-        return self._progress(now_ms)
+        """Handles that a participant of earlier epochs has stopped."""
+        if (
+            self._transition is not None
+            and self._transition.epoch == reply.epoch
+        ):
+            self._transition.replies[reply.sender] = reply
+        return self._advance(now_ms)
 
     def tick(self, now_ms: int) -> list[Action]:
-        """Lets time pass: asks again, gives up."""
-        actions = self._progress(now_ms)
-        actions += self._append_again(now_ms)
+        """Handles what is due by time: resends, appends and timeouts."""
+        actions = self._advance(now_ms)
+        actions += self._reappend(now_ms)
         for pending in list(self._pending.values()):
-            if now_ms - pending.began_ms >= GIVE_UP_MS:
-                actions += self._withdraw(pending, _not_claimed(pending))
+            if now_ms - pending.began_ms >= DECISION_TIMEOUT_MS:
+                actions += self._withdraw(
+                    pending, _not_claimed_verdict(pending)
+                )
                 continue
-            due_ms = RESEND_MS
+            due_ms = RESEND_INTERVAL_MS
             if not pending.witnesses_asked:
-                due_ms = ASK_WITNESSES_AFTER_MS
+                due_ms = WITNESS_DELAY_MS
             if now_ms - pending.asked_ms >= due_ms and self.is_active:
-                actions += self._ask_all(pending, now_ms)
+                actions += self._send_asks(pending, now_ms)
         return actions
 
-    def _append_again(self, now_ms: int) -> list[Action]:
-        """Appends what the log still lacks.
+    def _reappend(self, now_ms: int) -> list[Action]:
+        """Appends committed claims again that are not on the log yet.
 
         The first append may be lost with the steward that queued it.
         """
-        due = now_ms - self._appended_ms >= APPEND_AGAIN_MS
-        leads = self.is_active and self.leader == self._me
-        if not (due and leads and self._log_ok and self._local):
+        is_due = now_ms - self._last_reappend_ms >= REAPPEND_INTERVAL_MS
+        is_leader = self.is_active and self.leader == self._me
+        if not (
+            is_due
+            and is_leader
+            and self._is_log_reachable
+            and self._local_claims
+        ):
             return []
-        self._appended_ms = now_ms
-        lacking: list[object] = []
-        for local in list(self._local.values())[:APPEND_AGAIN_MOST]:
+        self._last_reappend_ms = now_ms
+        missing_records: list[object] = []
+        for local in list(self._local_claims.values())[:MAX_REAPPENDED_CLAIMS]:
             if not local.counted:
                 continue
-            lacking.append(dataclasses.replace(local.claim, counted=True))
+            missing_records.append(
+                dataclasses.replace(local.claim, counted=True)
+            )
             if local.settled is not None:
-                lacking.append(local.settled)
-        return [Append(tuple(lacking))] if lacking else []
+                missing_records.append(local.settled)
+        return [Append(tuple(missing_records))] if missing_records else []
 
-    def _progress(self, now_ms: int) -> list[Action]:
+    def _advance(self, now_ms: int) -> list[Action]:
         """Does whatever the latest input made possible."""
         config = self.config
         if config is None:
             return []
         actions: list[Action] = []
-        if self._active and self._active < config.epoch:
-            # What was pending can't count any more under the old epoch.
-            self._active = 0
+        if self._active_epoch and self._active_epoch < config.epoch:
+            # Claims pending under the old epoch can't be committed any more.
+            self._active_epoch = 0
             for pending in list(self._pending.values()):
-                actions += self._withdraw(pending, _not_claimed(pending))
-        if self._me in config.members and self._active != config.epoch:
-            actions += self._seek_activity(config, now_ms)
+                actions += self._withdraw(
+                    pending, _not_claimed_verdict(pending)
+                )
+        if self._me in config.members and self._active_epoch != config.epoch:
+            actions += self._try_activate(config, now_ms)
         for pending in list(self._pending.values()):
-            actions += self._try_count(pending, now_ms)
+            actions += self._try_commit(pending, now_ms)
         return actions
 
-    def _seek_activity(
+    def _try_activate(
         self, config: groups.GroupConfig, now_ms: int
     ) -> list[Action]:
-        self._fenced = max(self._fenced, config.epoch)
-        if self._collect is None or self._collect.epoch != config.epoch:
-            self._collect = _Collect(config.epoch, now_ms, now_ms - RESEND_MS)
-        collect = self._collect
-        earlier = [
+        self._fenced_epoch = max(self._fenced_epoch, config.epoch)
+        if self._transition is None or self._transition.epoch != config.epoch:
+            self._transition = _EpochTransition(
+                config.epoch, now_ms, now_ms - RESEND_INTERVAL_MS
+            )
+        transition = self._transition
+        earlier_configs = [
             c
             for c in self._groups.zones[self._zone].chain
             if c.epoch < config.epoch
         ]
-        if self._is_complete(earlier, collect):
-            doubt = any(self._is_doubtful(c, earlier, collect) for c in earlier)
-            # Whoever has not answered yet may know what is in doubt.
-            if not doubt or now_ms - collect.began_ms >= DOUBT_AFTER_MS:
-                return self._activate(config, collect, doubt)
-        if now_ms - collect.asked_ms < RESEND_MS:
+        if self._are_earlier_epochs_stopped(earlier_configs, transition):
+            doubt = any(
+                self._may_have_lost_claims(c, earlier_configs, transition)
+                for c in earlier_configs
+            )
+            # A participant that has not answered yet may resolve the doubt.
+            if not doubt or now_ms - transition.began_ms >= DOUBT_DELAY_MS:
+                return self._activate(config, transition, doubt)
+        if now_ms - transition.asked_ms < RESEND_INTERVAL_MS:
             return []
-        collect.asked_ms = now_ms
+        transition.asked_ms = now_ms
         fence = gm.GroupFence(self._zone, config.epoch)
         missing = {
             peer
-            for c in earlier
+            for c in earlier_configs
             for peer in c.participants
             if peer != self._me
-            and peer not in self._dead
-            and peer not in collect.replies
+            and peer not in self._dead_peers
+            and peer not in transition.replies
         }
         return [Send(peer, fence) for peer in sorted(missing)]
 
-    def _is_complete(
-        self, earlier: list[groups.GroupConfig], collect: _Collect
+    def _are_earlier_epochs_stopped(
+        self,
+        earlier_configs: list[groups.GroupConfig],
+        transition: _EpochTransition,
     ) -> bool:
         """Tells whether no earlier epoch can decide anything any more."""
-        for config in earlier:
-            unfenced = [
+        for config in earlier_configs:
+            unstopped = [
                 peer
                 for peer in config.participants
                 if peer != self._me
-                and peer not in self._dead
-                and peer not in collect.replies
+                and peer not in self._dead_peers
+                and peer not in transition.replies
             ]
-            if len(unfenced) > 1:
+            if len(unstopped) > 1:
                 return False
-        offsets = [reply.next_offset for reply in collect.replies.values()]
+        offsets = [reply.next_offset for reply in transition.replies.values()]
         return self._next_offset >= max(offsets, default=0)
 
     def _activate(
-        self, config: groups.GroupConfig, collect: _Collect, doubt: bool
+        self,
+        config: groups.GroupConfig,
+        transition: _EpochTransition,
+        doubt: bool,
     ) -> list[Action]:
-        for reply in collect.replies.values():
+        for reply in transition.replies.values():
             for kept in reply.kept:
-                self._import(kept)
-        kept_here: list[object] = []
-        for local in self._local.values():
-            # Whether it counted is not known any more, so it did.
+                self._take_over_claim(kept)
+        local_records: list[object] = []
+        for local in self._local_claims.values():
+            # Whether it was committed can't be known any more, so it is
+            # treated as committed.
             local.counted = True
             local.claim = dataclasses.replace(local.claim, counted=True)
-            kept_here.append(local.claim)
+            local_records.append(local.claim)
             if local.settled is not None:
-                kept_here.append(local.settled)
-        self._collect = None
-        self._active = config.epoch
-        self._was_active.add(config.epoch)
-        self._doubt = doubt
+                local_records.append(local.settled)
+        self._transition = None
+        self._active_epoch = config.epoch
+        self._past_active_epochs.add(config.epoch)
+        self._has_unsealed_doubt = doubt
         seal = records.GroupSealed(self._zone, config.epoch, doubt)
-        # In one append: a seal on the log says that all earlier claims are
-        # there too, those taken over and those kept here.
+        # One append, because a seal on the log promises that all earlier
+        # claims are there too: those taken over and those kept here.
         return [
-            Append((*kept_here, seal)),
+            Append((*local_records, seal)),
             Activated(config.epoch, doubt),
         ]
 
-    def _is_doubtful(
+    def _may_have_lost_claims(
         self,
         config: groups.GroupConfig,
-        earlier: list[groups.GroupConfig],
-        collect: _Collect,
+        earlier_configs: list[groups.GroupConfig],
+        transition: _EpochTransition,
     ) -> bool:
         """Tells whether claims of an epoch may be lost with its members.
 
-        A member that was active in it or later knows all its claims. With
-        no such member left, claims on the log and at witnesses are known;
-        those made in the dark took at least two members in the dark.
+        A member that was active in it or later knows all its claims. With no
+        such member left, claims on the log and at witnesses are known; those
+        made in isolation took at least two isolated members.
         """
-        newest = config.epoch
-        if self._doubt or any(r.doubt for r in collect.replies.values()):
+        examined_epoch = config.epoch
+        if self._has_unsealed_doubt or any(
+            r.doubt for r in transition.replies.values()
+        ):
             return True
-        if any(epoch >= newest for epoch in self._was_active):
+        if any(epoch >= examined_epoch for epoch in self._past_active_epochs):
             return False
-        for reply in collect.replies.values():
+        for reply in transition.replies.values():
             is_member = any(
-                reply.sender in c.members for c in earlier if c.epoch >= newest
+                reply.sender in c.members
+                for c in earlier_configs
+                if c.epoch >= examined_epoch
             )
-            if is_member and reply.active_epoch >= newest:
+            if is_member and reply.active_epoch >= examined_epoch:
                 return False
-        proved = set(self._in_contact)
-        for reply in collect.replies.values():
-            proved.update(reply.in_contact)
-        alive = {self._me, *collect.replies}
-        maybe_dark = [
+        died_in_contact = set(self._died_in_contact)
+        for reply in transition.replies.values():
+            died_in_contact.update(reply.in_contact)
+        alive = {self._me, *transition.replies}
+        possibly_isolated = [
             member
             for member in config.members
-            if member not in proved and member not in alive
+            if member not in died_in_contact and member not in alive
         ]
-        lost_witness = any(
-            witness not in collect.replies and witness != self._me
+        is_witness_lost = any(
+            witness not in transition.replies and witness != self._me
             for witness in config.witnesses
         )
-        return len(maybe_dark) > 1 or lost_witness
+        return len(possibly_isolated) > 1 or is_witness_lost
 
-    def _import(self, kept: gm.ReplicatedClaim) -> None:
+    def _take_over_claim(self, kept: gm.ReplicatedClaim) -> None:
         """Keeps a claim that another participant handed over."""
-        name = _name(kept.claim)
-        local = self._local.get(name)
+        name = _claim_name(kept.claim)
+        local = self._local_claims.get(name)
         if local is not None and (local.settled or not kept.settled):
             return
-        self._local[name] = _Local(kept.claim, True, kept.settled)
-        self._name_of[kept.claim.claim_id] = name
+        self._local_claims[name] = _LocalClaim(kept.claim, True, kept.settled)
+        self._name_by_claim_id[kept.claim.claim_id] = name
 
-    # -- what is kept ----------------------------------------------------------
+    # -- kept claims ---------------------------------------------------------
 
-    def _keep(self, claim: records.ClaimMade, now_ms: int) -> None:
-        name = _name(claim)
-        if name not in self._local:
-            self._local[name] = _Local(claim, dark=self.is_dark(now_ms))
-            self._name_of[claim.claim_id] = name
+    def _keep_claim(self, claim: records.ClaimMade, now_ms: int) -> None:
+        name = _claim_name(claim)
+        if name not in self._local_claims:
+            self._local_claims[name] = _LocalClaim(
+                claim, kept_while_isolated=self.is_isolated(now_ms)
+            )
+            self._name_by_claim_id[claim.claim_id] = name
 
-    def _local_of(self, claim_id: str) -> _Local | None:
-        name = self._name_of.get(claim_id)
-        local = self._local.get(name) if name else None
+    def _local_claim(self, claim_id: str) -> _LocalClaim | None:
+        name = self._name_by_claim_id.get(claim_id)
+        local = self._local_claims.get(name) if name else None
         if local is not None and local.claim.claim_id == claim_id:
             return local
         return None
 
-    def _drop(self, claim_id: str) -> None:
-        local = self._local_of(claim_id)
-        name = self._name_of.pop(claim_id, None)
+    def _drop_claim(self, claim_id: str) -> None:
+        local = self._local_claim(claim_id)
+        name = self._name_by_claim_id.pop(claim_id, None)
         if local is not None:
-            del self._local[name]
+            del self._local_claims[name]
 
 
-def _not_claimed(pending: _Pending) -> data.ClaimVerdict:
-    # No earlier claim of the name was known to the active leader, and this
-    # one will not count: the call has not run.
+def _not_claimed_verdict(pending: _PendingClaim) -> data.ClaimVerdict:
+    # The active leader knew no earlier claim of the name, and this one will
+    # not be committed: the call has not run.
     return data.ClaimVerdict(
         data.ClaimState.NOT_CLAIMED, pending.claim.claim_id
     )
 
 
-def _name(claim: records.ClaimMade) -> str:
+def _claim_name(claim: records.ClaimMade) -> str:
     return claims.name_of(claim.caller, claim.service, claim.key)
--- a/sesamecross/ops/claims.py
+++ b/sesamecross/ops/claims.py
@@ -1,9 +1,9 @@
-"""Calls that run at most once: the first claim on the log wins.
+"""Claims for calls that run at most once: the first claim on the log wins.
 
-Why: a caller that got no answer sends a pass log or an order again, perhaps
-to another instance at the same moment. The claim is written before the call
-is dispatched, so whoever comes second finds it, gets the first's answer, and
-never runs the call.
+A caller that got no answer repeats a call that must not run twice (a pass log
+or an order), perhaps at another instance at the same moment. The claim is
+written to the log before the call is dispatched, so a second arrival finds
+it, gets the first one's answer, and never runs the call.
 """
 
 import dataclasses
@@ -17,8 +17,8 @@
     """A claimed call.
 
     Attributes:
-      executed: None while the outcome is open.
-      answer: The remembered answer, where there is one.
+      executed: None while the outcome is unknown.
+      answer: The stored answer, if there is one.
     """
 
     claim_id: str
@@ -31,65 +31,76 @@
 
 @dataclasses.dataclass(slots=True)
 class ClaimTable:
-    """Claims by name, oldest first, and the name of each claim id."""
+    """Claims by name, oldest first, and each claim id's name.
+
+    The whole table is part of the dumped state (see replay.StateDump), so its
+    fields keep their names.
+
+    Attributes:
+      gone: Holders that will never settle their open claims, oldest first.
+    """
 
     by_name: dict[str, Claim] = dataclasses.field(default_factory=dict)
     name_of: dict[str, str] = dataclasses.field(default_factory=dict)
     gone: list[data.Incarnation] = dataclasses.field(default_factory=list)
 
 
-GONE_KEPT = 5000
+MAX_GONE_HOLDERS = 5000
 
 
 def name_of(caller: str, service: str, key: str) -> str:
     """Returns the name under which a call is claimed.
 
-    A key belongs to its caller: two callers may choose the same one.
+    Keys are scoped by caller: two callers may choose the same key. The length
+    prefixes keep different triples from giving one name.
     """
     return f"{len(caller)}:{caller}/{len(service)}:{service}/{key}"
 
 
-def make(
+def record_claim(
     table: ClaimTable, record: records.ClaimMade, remembered: int
 ) -> data.ClaimVerdict:
-    """Judges a claim at its place on the log.
+    """Decides a claim at its position on the log.
 
     Args:
       table: Changed in place.
       record: The claim.
-      remembered: How many claims are kept; the oldest settled go first.
+      remembered: How many claims are kept; the oldest settled ones are
+        evicted first.
 
     Returns:
-      The verdict for the claimer.
+      The verdict for the claimant.
     """
     name = name_of(record.caller, record.service, record.key)
-    known = table.by_name.get(name)
-    if known is not None:
-        if known.claim_id == record.claim_id:
-            return data.ClaimVerdict(data.ClaimState.WON, known.claim_id)
-        return verdict_of(table, known, record.call_digest)
+    existing = table.by_name.get(name)
+    if existing is not None:
+        if existing.claim_id == record.claim_id:
+            return data.ClaimVerdict(data.ClaimState.WON, existing.claim_id)
+        return verdict_of(table, existing, record.call_digest)
     claim = Claim(record.claim_id, name, record.call_digest, record.holder)
     table.by_name[name] = claim
     table.name_of[record.claim_id] = name
-    _forget_oldest(table, remembered)
+    _evict_oldest(table, remembered)
     return data.ClaimVerdict(data.ClaimState.WON, record.claim_id)
 
 
 def verdict_of(
     table: ClaimTable, claim: Claim, call_digest: str
 ) -> data.ClaimVerdict:
-    """Returns what a second arrival is told of a claim."""
+    """Returns the verdict for a later claim of the same name."""
     holder = claim.holder.instance
     if claim.call_digest != call_digest:
         return data.ClaimVerdict(
             data.ClaimState.MISMATCH, claim.claim_id, holder
         )
     if claim.executed is None:
-        # The claimer died between claim and outcome: the call may or may
-        # not have run, so it is never run again and said to be unknown.
-        is_gone = claim.holder in table.gone
+        # If the holder died before it recorded an outcome, the call may
+        # have run: it is never run again and its outcome is unknown.
+        is_holder_gone = claim.holder in table.gone
         state = (
-            data.ClaimState.UNKNOWN if is_gone else data.ClaimState.IN_PROGRESS
+            data.ClaimState.UNKNOWN
+            if is_holder_gone
+            else data.ClaimState.IN_PROGRESS
         )
         return data.ClaimVerdict(state, claim.claim_id, holder)
     if claim.answer is None:
@@ -102,7 +113,7 @@
 
 
 def settle(table: ClaimTable, record: records.ClaimSettled) -> None:
-    """Records an outcome; the first outcome of a claim stands.
+    """Records an outcome; only the first outcome of a claim is stored.
 
     A claim whose call was not dispatched is removed, so that the caller may
     send the call again under the same key.
@@ -122,15 +133,15 @@
     )
 
 
-def holder_gone(table: ClaimTable, incarnation: data.Incarnation) -> None:
-    """Notes that a claimer will never settle its open claims."""
+def mark_holder_gone(table: ClaimTable, incarnation: data.Incarnation) -> None:
+    """Records that a holder will never settle its open claims."""
     if incarnation not in table.gone:
         table.gone.append(incarnation)
-        del table.gone[:-GONE_KEPT]
+        del table.gone[:-MAX_GONE_HOLDERS]
 
 
-def _forget_oldest(table: ClaimTable, remembered: int) -> None:
-    """Forgets the oldest settled claims; an open one is never forgotten."""
+def _evict_oldest(table: ClaimTable, remembered: int) -> None:
+    """Evicts the oldest settled claims; open claims are always kept."""
     for _ in range(len(table.by_name)):
         if len(table.by_name) <= remembered:
             return
--- a/sesamecross/ops/config_log.py
+++ b/sesamecross/ops/config_log.py
@@ -1,8 +1,9 @@
-"""Which published configuration is in force: optimistic concurrency.
+"""Optimistic concurrency control of published configurations.
 
-Why: two operators publish from the same base, an append's answer is lost and
-the operator retries, an older program meets a newer format. In each case all
-instances must reach one verdict, so the rule reads nothing but the records.
+Two operators may publish from the same base version, an operator may retry
+after an append whose answer was lost, and an older program may read a newer
+format. All instances must reach the same verdict in each case, so the rule
+reads nothing but the records.
 """
 
 import dataclasses
@@ -14,12 +15,12 @@
 from sesamecross.utils import digest
 from sesamecross.utils import merge_patch
 
-VERDICTS_KEPT = 1000
-HISTORY_KEPT = 50
+MAX_VERDICTS = 1000
+MAX_HISTORY_ENTRIES = 50
 
 
 class Outcome(enum.Enum):
-    """The verdict on one published change."""
+    """The verdict on a published change."""
 
     ACCEPTED = "accepted"
     SUPERSEDED = "superseded"
@@ -29,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """What became of a change.
+    """The result of a published change.
 
     Attributes:
       version: The version in force after the verdict.
@@ -45,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HistoryEntry:
-    """An accepted version and the patch that leads back from it."""
+    """An accepted version and the patch that restores its predecessor."""
 
     version: int
     change_id: str
@@ -56,7 +57,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ConfigState:
-    """The replayed configuration. `version` never goes down."""
+    """The replayed configuration. `version` never decreases."""
 
     version: int = 0
     offset: int = -1
@@ -66,7 +67,7 @@
 
 
 class ConfigLog:
-    """Replays published changes. The state is plain and can be dumped."""
+    """Replays published changes. The state is plain data and can be dumped."""
 
     __slots__ = ("state", "_declarations")
 
@@ -81,43 +82,45 @@
         return self._declarations
 
     def apply(self, offset: int, change: records.ConfigPublished) -> Verdict:
-        """Judges one change and puts it in force if it is accepted."""
-        known = self.state.verdicts.get(change.change_id)
-        if known is not None:
-            # The append took effect, its answer was lost and the operator
-            # published again: one change, and the first verdict stands.
-            return known
-        verdict = self._judge(offset, change)
+        """Evaluates a change and puts it in force if it is accepted."""
+        earlier_verdict = self.state.verdicts.get(change.change_id)
+        if earlier_verdict is not None:
+            # The append took effect but its answer was lost, and the operator
+            # published again: it is one change and keeps its first verdict.
+            return earlier_verdict
+        verdict = self._evaluate(offset, change)
         self.state.verdicts[change.change_id] = verdict
-        while len(self.state.verdicts) > VERDICTS_KEPT:
+        while len(self.state.verdicts) > MAX_VERDICTS:
             self.state.verdicts.pop(next(iter(self.state.verdicts)))
         return verdict
 
-    def _judge(self, offset: int, change: records.ConfigPublished) -> Verdict:
+    def _evaluate(
+        self, offset: int, change: records.ConfigPublished
+    ) -> Verdict:
         state = self.state
         if change.format > declarations.FORMAT_MAX:
-            return self._refused(
+            return self._reject(
                 change, Outcome.FORMAT, f"needs format {change.format}"
             )
         if change.base_version != state.version:
-            return self._refused(change, Outcome.SUPERSEDED, "")
+            return self._reject(change, Outcome.SUPERSEDED, "")
         tree = merge_patch.apply(state.tree, change.patch)
         if digest.of_tree(tree) != change.digest:
-            return self._refused(
+            return self._reject(
                 change, Outcome.INVALID, "digest does not match the patch"
             )
         parsed = declarations.parse(tree)
         if parsed.declarations is None:
             first = parsed.errors[0]
-            return self._refused(
+            return self._reject(
                 change,
                 Outcome.INVALID,
                 f"{'.'.join(first.path)} {first.reason}",
             )
-        self._accept(offset, change, tree, parsed.declarations)
+        self._put_in_force(offset, change, tree, parsed.declarations)
         return Verdict(change.change_id, Outcome.ACCEPTED, state.version)
 
-    def _accept(
+    def _put_in_force(
         self,
         offset: int,
         change: records.ConfigPublished,
@@ -139,9 +142,9 @@
                 undo,
             )
         )
-        del state.history[:-HISTORY_KEPT]
+        del state.history[:-MAX_HISTORY_ENTRIES]
 
-    def _refused(
+    def _reject(
         self, change: records.ConfigPublished, outcome: Outcome, reason: str
     ) -> Verdict:
         by = ""
@@ -153,7 +156,7 @@
         )
 
     def tree_at(self, version: int) -> dict | None:
-        """Returns the tree of an older version, or None if forgotten."""
+        """Returns the tree of an older version, or None if it is not kept."""
         tree = self.state.tree
         current = self.state.version
         for entry in reversed(self.state.history):
--- a/sesamecross/ops/config_log_test.py
+++ b/sesamecross/ops/config_log_test.py
@@ -1,4 +1,4 @@
-"""Tests of which published change is in force, failures C1, C2, C7 and C8."""
+"""Tests of the configuration log: failures C1, C2, C7 and C8."""
 
 import pytest
 
@@ -23,9 +23,8 @@
 
 
 def test_of_two_changes_from_one_base_one_is_accepted():
-    # C1: two operators publish at the same moment from the same version.
-    # Exactly one is accepted; the other is told who was first and that
-    # nothing of the own change is in force.
+    # C1: two operators publish from the same version at the same moment.
+    # Exactly one change is accepted; the other verdict names the winner.
     log = config_log.ConfigLog()
     first = log.apply(0, change("a", 0, {}, REGION, "ann"))
     second = log.apply(1, change("b", 0, {}, ZONE, "bob"))
@@ -36,8 +35,8 @@
 
 
 def test_a_change_published_twice_counts_once():
-    # C2: the append took effect, its answer was lost, and the operator
-    # published again under the same id after others had gone on.
+    # C2: the append took effect but its answer was lost. The operator
+    # publishes again under the same id after another change was accepted.
     log = config_log.ConfigLog()
     one = change("a", 0, {}, REGION)
     first = log.apply(0, one)
@@ -70,7 +69,7 @@
     assert (log.state.version, log.state.tree) == (0, {})
 
 
-def test_older_versions_can_be_had_back():
+def test_older_versions_can_be_restored():
     log = config_log.ConfigLog()
     trees = [{}]
     for number in range(1, 5):
--- a/sesamecross/ops/group_planner.py
+++ b/sesamecross/ops/group_planner.py
@@ -1,9 +1,8 @@
-"""Who should be in a zone's claim group, and who proposes it.
+"""Plans the membership of a zone's claim group.
 
-Why: stewards come and go two thousand times a day. The group stays small
-whatever the zone's size, keeps members that are alive, lets go of those that
-are dead, silent or leaving, and never proposes an epoch that could not become
-active.
+Stewards come and go two thousand times a day. The group stays small whatever
+the zone's size. It keeps members that are alive, removes those that are dead,
+silent or leaving, and an epoch that could never become active is not proposed.
 """
 
 from collections.abc import Mapping
@@ -14,13 +13,13 @@
 from sesamecross.ops import groups
 from sesamecross.utils import rendezvous
 
-MEMBERS = 3
-WITNESSES = 2
+MAX_MEMBERS = 3
+MAX_WITNESSES = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClusterView:
-    """What a steward believes of the others.
+    """What a steward believes of the other stewards.
 
     Attributes:
       alive: Members believed alive and not leaving, by instance.
@@ -37,25 +36,25 @@
     zone: str,
     me: data.Member,
     group: groups.ZoneGroup | None,
-    around: ClusterView,
+    cluster: ClusterView,
 ) -> records.GroupChanged | None:
     """Returns the epoch that this steward should propose, or None.
 
     Args:
-      zone: Whose group.
+      zone: The group's zone.
       me: This steward.
       group: The zone's group as replayed.
-      around: What is believed of the others.
+      cluster: What this steward believes of the others.
     """
     current = group.current if group else None
     alive = {
         name: member
-        for name, member in around.alive.items()
-        if name not in around.leaving
+        for name, member in cluster.alive.items()
+        if name not in cluster.leaving
     }
-    if not _is_proposer(zone, me, current, alive, around):
+    if not _is_proposer(zone, me, current, alive, cluster):
         return None
-    if current is not None and not _can_follow(current, around, alive):
+    if current is not None and not _can_fence_current(current, cluster, alive):
         return None
     members = _members(zone, me, current, alive)
     witnesses = _witnesses(zone, me, members, current, alive)
@@ -75,11 +74,13 @@
     me: data.Member,
     current: groups.GroupConfig | None,
     alive: Mapping[str, data.Member],
-    around: ClusterView,
+    cluster: ClusterView,
 ) -> bool:
-    """The zone's first live steward proposes; for a dead zone, another's.
+    """Tells whether this steward is the one to propose.
 
-    Proposals race harmlessly: the log takes one.
+    The first live steward of the zone in rendezvous order proposes; for a zone
+    without live stewards, one of another zone does. If several propose at
+    once, the log accepts one of them.
     """
     name = me.incarnation.instance
     in_zone = [n for n, m in alive.items() if m.zone == zone]
@@ -87,26 +88,26 @@
         return rendezvous.top(f"group/{zone}", in_zone, 1) == [name]
     if in_zone or current is None:
         return False
-    if any(member not in around.dead for member in current.members):
-        # Perhaps only cut off, and deciding for its own callers.
+    if any(member not in cluster.dead for member in current.members):
+        # It may only be partitioned and still decide for its own callers.
         return False
     witnesses = [w.instance for w in current.witnesses if w.instance in alive]
     candidates = witnesses or list(alive)
     return rendezvous.top(f"group/{zone}", candidates, 1) == [name]
 
 
-def _can_follow(
+def _can_fence_current(
     current: groups.GroupConfig,
-    around: ClusterView,
+    cluster: ClusterView,
     alive: Mapping[str, data.Member],
 ) -> bool:
-    """Tells whether all participants but one can be made to stop."""
+    """Tells whether all participants but at most one can be made to stop."""
     silent = [
         peer
         for peer in current.participants
-        if peer not in around.dead
+        if peer not in cluster.dead
         and not _is_alive(peer, alive)
-        and peer.instance not in around.leaving
+        and peer.instance not in cluster.leaving
     ]
     return len(silent) <= 1
 
@@ -122,10 +123,10 @@
     current: groups.GroupConfig | None,
     alive: Mapping[str, data.Member],
 ) -> tuple[data.Incarnation, ...]:
-    home = zone
+    source_zone = zone
     if not any(member.zone == zone for member in alive.values()):
-        home = me.zone
-    pool = {n: m for n, m in alive.items() if m.zone == home}
+        source_zone = me.zone
+    pool = {n: m for n, m in alive.items() if m.zone == source_zone}
     kept = []
     if current is not None:
         kept = [
@@ -139,7 +140,7 @@
         for name in ranked
         if pool[name].incarnation not in kept
     ]
-    return tuple((kept + added)[:MEMBERS])
+    return tuple((kept + added)[:MAX_MEMBERS])
 
 
 def _witnesses(
@@ -149,22 +150,22 @@
     current: groups.GroupConfig | None,
     alive: Mapping[str, data.Member],
 ) -> tuple[data.Incarnation, ...]:
-    """Picks one steward from each of a few other zones."""
+    """Chooses one steward from each of a few other zones."""
     by_zone: dict[str, list[str]] = {}
-    taken = {member.instance for member in members}
-    hosts = {alive[name].zone for name in taken if name in alive}
+    member_names = {member.instance for member in members}
+    member_zones = {alive[name].zone for name in member_names if name in alive}
     for name, member in alive.items():
-        if member.zone not in hosts:
+        if member.zone not in member_zones:
             by_zone.setdefault(member.zone, []).append(name)
-    zones = rendezvous.top(f"witness/{zone}", by_zone, WITNESSES)
+    zones = rendezvous.top(f"witness/{zone}", by_zone, MAX_WITNESSES)
     chosen = []
     for other in zones:
         names = by_zone[other]
-        before = [
+        current_witnesses = [
             peer.instance
             for peer in (current.witnesses if current else ())
             if peer.instance in names and _is_alive(peer, alive)
         ]
-        pick = before or rendezvous.top(f"witness/{zone}", names, 1)
+        pick = current_witnesses or rendezvous.top(f"witness/{zone}", names, 1)
         chosen.append(alive[pick[0]].incarnation)
     return tuple(chosen)
--- a/sesamecross/ops/groups.py
+++ b/sesamecross/ops/groups.py
@@ -1,8 +1,9 @@
-"""Claim groups as the log knows them: members, epochs, doubt, homes.
+"""Claim groups as replayed from the log: members, epochs, doubt, homes.
 
-Why: a caller's claims are decided in one place in both weathers, the group of
-the caller's home zone. Who is in that group changes by records on the log
-only, one epoch at a time, so no two groups of one zone can both decide.
+A caller's claims are decided in one place, the group of its home zone,
+whether the log is reachable or not. The group's membership changes only by
+records on the log, one epoch at a time, so that no two groups of one zone can
+both decide.
 """
 
 from collections.abc import Mapping
@@ -34,7 +35,7 @@
     Attributes:
       chain: Epochs from the last sealed one to the current one.
       sealed: The newest epoch before which all claims are accounted for.
-      doubt: Claims may have run that nobody alive knows of.
+      doubt: Whether claims may have run of which no live participant knows.
     """
 
     chain: list[GroupConfig] = dataclasses.field(default_factory=list)
@@ -49,18 +50,18 @@
 
 @dataclasses.dataclass(slots=True)
 class GroupState:
-    """All zones' groups, and the homes that callers had first.
+    """All zones' groups, and the home zones in force.
 
     Attributes:
-      homes: Where a caller's claims are decided, by caller. Differs from
-        the declared home until the earlier home has released the caller.
+      homes: The zone that decides a caller's claims, by caller. It differs
+        from the declared home until the earlier home releases the caller.
     """
 
     zones: dict[str, ZoneGroup] = dataclasses.field(default_factory=dict)
     homes: dict[str, str] = dataclasses.field(default_factory=dict)
 
 
-def change(
+def begin_epoch(
     state: GroupState, record: records.GroupChanged
 ) -> GroupConfig | None:
     """Begins a new epoch if the record follows the current one."""
@@ -78,7 +79,7 @@
 
 
 def seal(state: GroupState, record: records.GroupSealed) -> bool:
-    """Notes that everything before an epoch is accounted for."""
+    """Records that all claims before an epoch are accounted for."""
     group = state.zones.get(record.zone)
     if group is None or record.epoch <= group.sealed:
         return False
@@ -92,7 +93,7 @@
 
 
 def clear_doubt(state: GroupState, record: records.DoubtCleared) -> bool:
-    """Takes an operator's word that nothing unknown matters."""
+    """Clears a zone's doubt by an operator's decision."""
     group = state.zones.get(record.zone)
     if group is None or not group.doubt:
         return False
@@ -101,7 +102,7 @@
 
 
 def claim_is_current(state: GroupState, record: records.ClaimMade) -> bool:
-    """Tells whether a claim's epoch is the current one at its place."""
+    """Tells whether a claim was made in the epoch current at its offset."""
     if record.counted:
         return True
     group = state.zones.get(record.zone)
@@ -109,11 +110,11 @@
     return current is not None and current.epoch == record.epoch
 
 
-def settle_homes(state: GroupState, callers: Mapping[str, data.Caller]) -> None:
-    """Gives new callers their declared home and forgets those gone.
+def update_homes(state: GroupState, callers: Mapping[str, data.Caller]) -> None:
+    """Adds new callers with their declared home and removes undeclared ones.
 
-    A caller whose declared home changed keeps the earlier one: that group
-    may be cut off and still be deciding by the older configuration.
+    A caller whose declared home changed keeps the earlier one: that group may
+    be partitioned and still decide by the older configuration.
     """
     for name in list(state.homes):
         if name not in callers:
@@ -127,7 +128,7 @@
     callers: Mapping[str, data.Caller],
     record: records.HomeReleased,
 ) -> bool:
-    """Lets a caller's declared home decide from here on."""
+    """Puts a caller's declared home in force from this record on."""
     declared = callers.get(record.caller)
     if declared is None or state.homes.get(record.caller) != record.from_zone:
         return False
--- a/sesamecross/ops/replay.py
+++ b/sesamecross/ops/replay.py
@@ -1,9 +1,9 @@
-"""From records on the log to the state that all instances share.
+"""Replays log records into the state that all instances share.
 
-Why: instances keep nothing, so every one rebuilds the state from the log (or
-takes it from a peer or a snapshot, in the same form) and reaches the same
-verdicts. `SharedState.apply` reads only the record and its offset: no clock,
-no random number, nothing of the instance that runs it.
+Instances store nothing, so each rebuilds the state from the log (or takes it
+from a peer or a snapshot, in the same form) and reaches the same verdicts.
+`SharedState.apply` reads only the record and its offset: no clock, no random
+number, nothing of the instance that runs it.
 """
 
 import dataclasses
@@ -28,15 +28,19 @@
 from sesamecross.ops import leases
 
 # Appends whose answer was lost are sent again within seconds; at several
-# hundred appends a second these many ids cover more than a minute.
-APPEND_IDS_KEPT = 20_000
+# hundred appends per second these many ids cover more than a minute.
+MAX_APPEND_IDS = 20_000
 MAX_STATE_BYTES = 256 * 1024 * 1024
-MEMBERS_KEPT = 20_000
+MAX_MEMBERS = 20_000
 
 
 @dataclasses.dataclass(slots=True)
-class Dumped:
-    """The whole state in plain form, as snapshots and peers carry it."""
+class StateDump:
+    """The whole state in plain form, as snapshots and peers carry it.
+
+    It is written under the field names of this class and of those nested in
+    it, so a renamed field would make stored snapshots unreadable.
+    """
 
     next_offset: int
     append_ids: list[str]
@@ -51,12 +55,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AppliedRecord:
-    """What one record did at replay, for whoever waits for it.
+    """The effect of one replayed record, for those who wait for it.
 
     Attributes:
-      result: Verdict, Lease, Intent or ClaimVerdict; None where the record
-        did not count or has no result.
-      stamp: The writer's hybrid clock, for the time line.
+      result: Verdict, Lease, Intent or ClaimVerdict; None if the record was
+        not valid at its offset or has no result.
+      stamp: The writer's hybrid logical clock, for the timeline.
     """
 
     offset: int
@@ -95,13 +99,13 @@
         """Applies one log record; an offset seen before changes nothing.
 
         Args:
-          offset: The record's place on the log. Must not skip records that
-            could still be read; the log client sees to that.
+          offset: The record's position on the log. Must not skip records that
+            could still be read; the log client ensures that.
           payload: The record's bytes. Bytes that are no envelope change
             nothing but the offset, at every instance alike.
 
         Returns:
-          An event for each entry of the envelope, in order.
+          One result for each entry of the envelope, in order.
         """
         if offset < self.next_offset:
             return []
@@ -111,17 +115,19 @@
             return []
         if envelope.append_id in self._append_ids:
             return []
-        self._remember(envelope.append_id)
-        events = []
+        self._remember_append_id(envelope.append_id)
+        applied_records = []
         for plain in envelope.entries:
             record = codec.from_plain(plain).value_or(None)
             result = self._apply_record(offset, record)
-            events.append(AppliedRecord(offset, record, result, envelope.stamp))
-        return events
+            applied_records.append(
+                AppliedRecord(offset, record, result, envelope.stamp)
+            )
+        return applied_records
 
-    def _remember(self, append_id: str) -> None:
+    def _remember_append_id(self, append_id: str) -> None:
         self._append_ids[append_id] = None
-        while len(self._append_ids) > APPEND_IDS_KEPT:
+        while len(self._append_ids) > MAX_APPEND_IDS:
             self._append_ids.pop(next(iter(self._append_ids)))
 
     def _apply_record(self, offset: int, record: Any) -> Any:
@@ -133,7 +139,7 @@
             case records.MemberLeft(incarnation=incarnation):
                 return self._leave(incarnation)
             case records.LeaseTaken():
-                # Offset 0 would look like "no lease" to `supersedes`.
+                # In `supersedes`, 0 means that there is no lease.
                 return leases.take(self.leases, offset + 1, record)
             case records.LeaseReleased():
                 return leases.release(self.leases, record)
@@ -150,7 +156,7 @@
             case records.ClaimSettled():
                 return claims.settle(self.claims, record)
             case records.GroupChanged():
-                return groups.change(self.groups, record)
+                return groups.begin_epoch(self.groups, record)
             case records.GroupSealed():
                 return groups.seal(self.groups, record)
             case records.DoubtCleared():
@@ -169,33 +175,33 @@
     ) -> config_log.Verdict:
         verdict = self.config.apply(offset, record)
         callers = self.config.declarations.callers
-        groups.settle_homes(self.groups, callers)
+        groups.update_homes(self.groups, callers)
         return verdict
 
     def _claim(self, record: records.ClaimMade) -> data.ClaimVerdict | None:
         if not groups.claim_is_current(self.groups, record):
             return None
         remembered = self.config.declarations.claims.remembered
-        return claims.make(self.claims, record, remembered)
+        return claims.record_claim(self.claims, record, remembered)
 
     def _join(self, member: data.Member) -> None:
         instance = member.incarnation.instance
         earlier = self.members.get(instance)
         if earlier is not None and earlier.incarnation != member.incarnation:
-            claims.holder_gone(self.claims, earlier.incarnation)
+            claims.mark_holder_gone(self.claims, earlier.incarnation)
         self.members[instance] = member
-        while len(self.members) > MEMBERS_KEPT:
+        while len(self.members) > MAX_MEMBERS:
             self.members.pop(next(iter(self.members)))
 
     def _leave(self, incarnation: data.Incarnation) -> None:
-        claims.holder_gone(self.claims, incarnation)
+        claims.mark_holder_gone(self.claims, incarnation)
         current = self.members.get(incarnation.instance)
         if current is not None and current.incarnation == incarnation:
             del self.members[incarnation.instance]
 
     def dump(self) -> bytes:
         """Returns the state as bytes, equal for equal states."""
-        dumped = Dumped(
+        dumped = StateDump(
             self.next_offset,
             list(self._append_ids),
             self.config.state,
@@ -214,7 +220,7 @@
 def load(dump: bytes) -> Result[SharedState, errors.Problem]:
     """Returns the state that `SharedState.dump` wrote."""
     try:
-        dumped = msgspec.convert(msgpack.unpackb(dump), Dumped)
+        dumped = msgspec.convert(msgpack.unpackb(dump), StateDump)
     except (ValueError, TypeError, msgspec.ValidationError) as error:
         return Failure(_bad_dump(str(error)))
     state = SharedState()
@@ -243,7 +249,7 @@
 def restore(
     record: records.StateSnapshot,
 ) -> Result[SharedState, errors.Problem]:
-    """Returns the state in a snapshot, or why it can't be trusted."""
+    """Returns the state in a snapshot, or why it can't be used."""
     try:
         dump = zstandard.ZstdDecompressor().decompress(
             record.data, max_output_size=MAX_STATE_BYTES
