--- a/sesamecross/ops/answer_validator.py
+++ b/sesamecross/ops/answer_validator.py
@@ -1,9 +1,9 @@
-"""Checks that what arrives continues exactly one caller's answer.
+"""Validates that an engine's events continue the answer of exactly one call.
 
-Why: an event of another call would be another caller's answer, and an event
-whose number is not the next would be a token lost or doubled. Over all
-attempts of a call one check counts the tokens, so that a resumed answer joins
-the first part without a seam.
+An event of another call would deliver another caller's answer, and a token
+number other than the next one means a lost or duplicated token. One validator
+counts tokens over all attempts of a call, so that a resumed answer joins the
+part already sent without a gap or a repetition.
 """
 
 import dataclasses
@@ -38,13 +38,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Chunk:
-    """One checked event of the answer.
+    """A validated event of an answer.
 
     Attributes:
       data: The event's JSON as the engine sent it.
-      text: The generated text in it, often one token.
-      usage: Token counts, where the event bears them.
-      only_usage: Whether the event does nothing but close the answer.
+      text: The text generated in this event, often one token.
+      usage: Token counts, if the event carries them.
+      is_usage_only: Whether the event only reports usage at the end.
     """
 
     data: bytes
@@ -56,11 +56,11 @@
 
 
 class InvalidEventError(Exception):
-    """The attempt's events can't be trusted any further."""
+    """The attempt's event stream is invalid and must be abandoned."""
 
 
 class AnswerValidator:
-    """The state of one call's answer over all its attempts."""
+    """Validation state of one call's answer over all its attempts."""
 
     __slots__ = (
         "_call_id",
@@ -75,26 +75,27 @@
         self._call_id = call_id
         self._text: list[str] = []
         self.tokens = 0
-        # Set where the engine was given the text so far as a prompt: its
-        # own numbers begin anew then.
+        # Set when a later attempt sent the text so far as part of the prompt:
+        # that engine numbers its tokens from 1 again.
         self.ignores_event_ids = False
         self.done = False
         self.cached_tokens: int | None = None
 
     @property
     def text(self) -> str:
-        """What was generated so far."""
+        """The text generated so far."""
         return "".join(self._text)
 
     def process_event(self, event: sse.Event) -> Chunk | None:
-        """Returns the event if it continues the answer.
+        """Validates the next event of the answer.
 
         Returns:
-          None for the closing mark and for tokens that were passed on
-          before.
+          The parsed event; None for the end marker and for tokens that were
+          already passed on.
 
         Raises:
-          Wrong: The event is not this call's, or tokens are missing.
+          InvalidEventError: The event can't be parsed, belongs to another
+            call, or leaves out a token.
         """
         if event.data == DONE:
             self.done = True
@@ -105,12 +106,12 @@
             raise InvalidEventError("event is not understood") from error
         if document.id != self._call_id:
             raise InvalidEventError("event of another call")
-        chunk = _chunk(event.data, document)
+        chunk = _parse_chunk(event.data, document)
         if document.usage is not None:
             self.cached_tokens = _cached_tokens(document.usage)
         if not chunk.text:
             return chunk
-        number = self._number(event)
+        number = self._token_number(event)
         if number <= self.tokens:
             return None
         if number != self.tokens + 1:
@@ -119,7 +120,7 @@
         self._text.append(chunk.text)
         return chunk
 
-    def _number(self, event: sse.Event) -> int:
+    def _token_number(self, event: sse.Event) -> int:
         if self.ignores_event_ids or not event.event_id.isdigit():
             return self.tokens + 1
         return int(event.event_id)
@@ -133,7 +134,7 @@
     return cached if isinstance(cached, int) else None
 
 
-def _chunk(data: bytes, document: _Document) -> Chunk:
+def _parse_chunk(data: bytes, document: _Document) -> Chunk:
     text = ""
     finish_reason = None
     if document.choices:
--- a/sesamecross/ops/call_queue.py
+++ b/sesamecross/ops/call_queue.py
@@ -1,73 +1,84 @@
-"""Orders calls that wait for room at an upstream.
+"""Priority queue of the calls that wait for capacity at an upstream.
 
-Why: when demand exceeds room, who waits decides what is attained. Smaller
-priority numbers go first; waiting improves a call's priority step by step, so
-summaries are late but never starved. Among equals a call that can still make
-its promise goes before one that can't, and callers take turns.
+When demand exceeds capacity, the order of the queue decides which calls meet
+their latency targets. Smaller priority numbers go first. Waiting raises a
+call's priority step by step, so that low-priority calls are delayed but never
+starved. At equal priority, calls that can still meet their target go before
+those that can't, and then callers with fewer dispatched calls go first.
 """
 
 from collections.abc import Iterator
 
 from sesamecross.ops import routing
 
-# Waiting this long is worth one step of priority.
-AGING_MS = 4000
+# This much waiting raises a call by one step of priority.
+AGING_STEP_MS = 4000
 
 
 class CallQueue:
     """The waiting calls of one entry. Deterministic."""
 
-    __slots__ = ("_calls", "_served")
+    __slots__ = ("_calls", "_dispatch_counts")
 
     def __init__(self) -> None:
         self._calls: dict[str, routing.Call] = {}
-        # Calls dispatched for each caller, halved now and then; the caller
-        # that got fewer goes first.
-        self._served: dict[str, float] = {}
+        # Calls dispatched per caller, halved when a count exceeds 1000. The
+        # caller with the smaller count goes first.
+        self._dispatch_counts: dict[str, float] = {}
 
     def __len__(self) -> int:
         return len(self._calls)
 
     def add(self, call: routing.Call) -> None:
-        """Queues a call."""
+        """Adds a call to the queue."""
         self._calls[call.call_id] = call
 
     def remove(self, call_id: str) -> routing.Call | None:
-        """Takes a call out, if it is still there."""
+        """Removes and returns a call, or returns None if it is not queued."""
         return self._calls.pop(call_id, None)
 
-    def in_order(self, now_ms: int) -> list[routing.Call]:
-        """Returns the waiting calls, the one to go first first."""
+    def by_priority(self, now_ms: int) -> list[routing.Call]:
+        """Returns the waiting calls in the order of dispatch."""
         return sorted(
             self._calls.values(), key=lambda call: self._key(call, now_ms)
         )
 
     def _key(self, call: routing.Call, now_ms: int) -> tuple:
         waited_ms = now_ms - call.arrived_ms
-        level = call.priority - waited_ms // AGING_MS
-        late = waited_ms > call.promise.first_token_ms
-        share = self._served.get(call.caller, 0.0)
-        return (level, late, share, call.arrived_ms, call.call_id)
+        effective_priority = call.priority - waited_ms // AGING_STEP_MS
+        is_late = waited_ms > call.promise.first_token_ms
+        caller_share = self._dispatch_counts.get(call.caller, 0.0)
+        return (
+            effective_priority,
+            is_late,
+            caller_share,
+            call.arrived_ms,
+            call.call_id,
+        )
 
-    def ahead_of(self, call: routing.Call, now_ms: int) -> int:
-        """Returns how many waiting calls would go before `call`."""
+    def count_ahead_of(self, call: routing.Call, now_ms: int) -> int:
+        """Returns how many waiting calls would be dispatched before `call`."""
         key = self._key(call, now_ms)
         return sum(
-            1 for one in self._calls.values() if self._key(one, now_ms) < key
+            1
+            for other in self._calls.values()
+            if self._key(other, now_ms) < key
         )
 
-    def dispatched(self, caller: str) -> None:
-        """Counts a call towards its caller's share."""
-        self._served[caller] = self._served.get(caller, 0.0) + 1.0
-        if self._served[caller] > 1000:
-            self._served = {
+    def count_dispatch(self, caller: str) -> None:
+        """Counts a dispatched call towards its caller's share."""
+        self._dispatch_counts[caller] = (
+            self._dispatch_counts.get(caller, 0.0) + 1.0
+        )
+        if self._dispatch_counts[caller] > 1000:
+            self._dispatch_counts = {
                 name: count / 2
-                for name, count in self._served.items()
+                for name, count in self._dispatch_counts.items()
                 if count > 2
             }
 
     def expired(self, now_ms: int) -> Iterator[routing.Call]:
-        """Yields calls that waited longer than their class allows."""
+        """Yields calls past their class's queueing limit or their deadline."""
         for call in list(self._calls.values()):
             waited_ms = now_ms - call.arrived_ms
             if waited_ms >= call.promise.queue_ms or now_ms >= call.deadline_ms:
--- a/sesamecross/ops/dispatch.py
+++ b/sesamecross/ops/dispatch.py
@@ -1,7 +1,7 @@
-"""Decides for each call when and where it goes, or that it is refused.
+"""Decides for each model call when and where it is dispatched or refused.
 
-Why: admission, routing, limits, retries and refusals share one state; apart
-from I/O they run the same under tests, a replay, or a bench with its own
+Admission control, routing, limits and retries share one state. Without I/O of
+its own, it runs the same under tests, a replay, or a benchmark with its own
 clock. Typed inputs and a time go in, typed actions come out.
 """
 
@@ -17,12 +17,12 @@
 from sesamecross.ops import routing
 
 MAX_ATTEMPTS = 4
-QUEUE_MOST = 2000
+MAX_QUEUED_CALLS = 2000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dispatch:
-    """The call goes to an upstream now, or after a pause before a retry."""
+    """The call goes to an upstream, after `backoff_ms` if it is a retry."""
 
     call_id: str
     upstream: str
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun(FailureKind):
-    """The upstream said, or the network proved, that nothing ran."""
+    """The upstream said, or the network proved, that nothing was run."""
 
     leaving: bool = False
     absent: bool = False
@@ -57,17 +57,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MayHaveRun(FailureKind):
-    """The upstream failed after it may have begun."""
+    """The upstream failed after it may have started the call."""
 
 
 @dataclasses.dataclass(slots=True)
-class _Open:
-    """A call that is waiting or dispatched.
+class _OpenCall:
+    """A call that is queued or dispatched.
 
     Attributes:
-      may_have_run: Whether any of its attempts may have begun.
-      state: Where the call is counted. A configuration may give its upstream
-        another record meanwhile, which has never counted it.
+      may_have_run: Whether any of its attempts may have started.
+      state: The record in which the call is counted. A new configuration may
+        replace the upstream's record, and the new one never counted the call.
     """
 
     call: routing.Call
@@ -81,59 +81,63 @@
 
 
 class Dispatcher:
-    """One entry's calls to models. Not safe for threads."""
+    """Dispatches one entry's model calls. Not thread-safe."""
 
     __slots__ = (
         "upstreams",
         "budget",
         "queue",
-        "_place",
+        "_location",
         "_policy",
-        "_is_limited",
+        "_has_admission_control",
         "_rng",
-        "_open",
-        "_turn",
-        "_entries",
+        "_open_calls",
+        "_dispatch_count",
+        "_entry_count",
     )
 
     def __init__(
         self,
-        place: routing.EntryLocation,
+        location: routing.EntryLocation,
         policy: routing.Policy,
         rng: random.Random,
     ):
         self.upstreams: dict[str, routing.UpstreamState] = {}
         self.budget = retry.RetryBudget()
         self.queue = call_queue.CallQueue()
-        self._place = place
+        self._location = location
         self._policy = policy
-        # The baselines of experiments know no limits and no queue.
-        self._is_limited = isinstance(policy, routing.LowestEstimatedCost)
+        # The baseline policies of experiments have no limits and no queue.
+        self._has_admission_control = isinstance(
+            policy, routing.LowestEstimatedCost
+        )
         self._rng = rng
-        self._open: dict[str, _Open] = {}
-        self._turn = 0
-        self._entries = 1
+        self._open_calls: dict[str, _OpenCall] = {}
+        self._dispatch_count = 0
+        self._entry_count = 1
 
     @property
     def open_calls(self) -> int:
-        """Calls that are waiting or dispatched."""
-        return len(self._open)
+        """Number of calls that are queued or dispatched."""
+        return len(self._open_calls)
 
-    # -- views ---------------------------------------------------------
+    # -- configuration and reports --------------------------------------
 
     def configure(self, declarations: data.Declarations, entries: int) -> None:
-        """Takes in accepted declarations.
+        """Applies accepted declarations.
 
         Args:
-          declarations: What is declared now.
-          entries: Entry instances believed alive, for a first guess of
+          declarations: The declarations in force.
+          entries: Entry instances believed alive, for a first estimate of
             this entry's share of an upstream.
         """
-        self._entries = max(1, entries)
+        self._entry_count = max(1, entries)
         region_ms = {
             r.name: r.one_way_ms for r in declarations.regions.values()
         }
-        self._place = dataclasses.replace(self._place, region_ms=region_ms)
+        self._location = dataclasses.replace(
+            self._location, region_ms=region_ms
+        )
         engines = {e.name: e for e in declarations.engines()}
         for name in list(self.upstreams):
             if name not in engines:
@@ -144,77 +148,91 @@
             if known is None or known.declared.url != declared.url:
                 self.upstreams[name] = self._new_state(declared, region)
                 continue
-            # The same engine under other limits: what it reported and the
-            # calls that are open there stay known.
+            # Still the same engine: its last report and the calls open there
+            # stay valid under the new limits.
             known.declared = declared
             known.region = region
 
     def _new_state(
         self, declared: data.Upstream, region: str
     ) -> routing.UpstreamState:
-        return routing.UpstreamState(declared, region, entries=self._entries)
+        return routing.UpstreamState(
+            declared, region, entries=self._entry_count
+        )
 
     def report(self, report: data.UpstreamReport, now_ms: int) -> None:
-        """Takes in what an upstream said of itself."""
+        """Applies an upstream's report."""
         state = self.upstreams.get(report.upstream)
         if state is None:
             return
         earlier = state.report
         if earlier is not None and earlier.epoch != report.epoch:
-            # Restarted: its cache is empty and earlier refusals are void.
-            state.history.clear()
-            state.leaving_seen = False
+            # The upstream restarted: its cache is empty, and its earlier
+            # statement that it is leaving no longer holds.
+            state.prefix_cache.clear()
+            state.is_leaving = False
         if earlier is not None and earlier == report:
             return
         state.report = report
         state.reported_ms = now_ms
-        state.own_at_report = state.own
+        state.own_calls_at_report = state.own_calls
         state.absent.clear()
 
     def set_draining(self, upstream: str, draining: bool) -> None:
-        """Takes in an operator's drain mark."""
+        """Applies an operator's drain mark."""
         state = self.upstreams.get(upstream)
         if state is not None:
-            state.leaving_seen = draining
+            state.is_leaving = draining
 
     # -- calls ---------------------------------------------------------
 
     def submit(self, call: routing.Call, now_ms: int) -> list[Action]:
-        """Takes a new call; the action may follow later."""
-        open_call = _Open(call)
-        self._open[call.call_id] = open_call
-        return self._place_or_queue(open_call, now_ms)
-
-    def _place_or_queue(self, one: _Open, now_ms: int) -> list[Action]:
-        call = one.call
-        servers = self._servers(one, now_ms)
-        if not servers:
-            return [self._refuse(one, self._no_server(one))]
-        # Nobody overtakes a call that waits for the same upstreams.
-        if not self._is_limited:
-            return [self._dispatch(one, servers, now_ms)]
-        with_room = _with_room(one.call, servers, self._place, now_ms)
-        if with_room and not self.queue.ahead_of(call, now_ms):
-            return [self._dispatch(one, with_room, now_ms)]
-        wait_ms = self._wait_ms(call, servers, now_ms)
-        if wait_ms > call.promise.queue_ms or len(self.queue) >= QUEUE_MOST:
+        """Accepts a new call; its action may follow later."""
+        open_call = _OpenCall(call)
+        self._open_calls[call.call_id] = open_call
+        return self._dispatch_or_queue(open_call, now_ms)
+
+    def _dispatch_or_queue(
+        self, open_call: _OpenCall, now_ms: int
+    ) -> list[Action]:
+        call = open_call.call
+        eligible = self._eligible_upstreams(open_call, now_ms)
+        if not eligible:
+            return [
+                self._refuse(open_call, self._no_upstream_refusal(open_call))
+            ]
+        # A new call never overtakes one that waits for the same upstreams.
+        if not self._has_admission_control:
+            return [self._dispatch(open_call, eligible, now_ms)]
+        with_capacity = _upstreams_with_capacity(
+            open_call.call, eligible, self._location, now_ms
+        )
+        if with_capacity and not self.queue.count_ahead_of(call, now_ms):
+            return [self._dispatch(open_call, with_capacity, now_ms)]
+        wait_ms = self._estimated_wait_ms(call, eligible, now_ms)
+        if (
+            wait_ms > call.promise.queue_ms
+            or len(self.queue) >= MAX_QUEUED_CALLS
+        ):
             retry_after_s = max(1, math.ceil(wait_ms / 1000))
-            return [self._refuse(one, refusal.overloaded(retry_after_s))]
+            return [self._refuse(open_call, refusal.overloaded(retry_after_s))]
         self.queue.add(call)
-        return self._drain_queue(now_ms)
+        return self._dispatch_queued(now_ms)
 
-    def _servers(self, one: _Open, now_ms: int) -> list[routing.UpstreamState]:
-        target = one.call.target
+    def _eligible_upstreams(
+        self, open_call: _OpenCall, now_ms: int
+    ) -> list[routing.UpstreamState]:
+        target = open_call.call.target
         found = [
             u
             for u in self.upstreams.values()
-            if u.declared.name not in one.excluded
+            if u.declared.name not in open_call.excluded
             and u.may_serve(target, now_ms)
         ]
         return sorted(found, key=lambda u: u.declared.name)
 
     def _holders(self, target: str) -> list[routing.UpstreamState]:
-        """Returns all that report `target`, whether they may serve or not.
+        """Returns all upstreams that report `target`, available or not.
 
         The home of a prefix must not move when one of them is busy.
         """
@@ -224,256 +242,280 @@
             if u.report is not None and target in u.report.resident
         ]
 
-    def _no_server(self, one: _Open) -> refusal.Refusal:
-        if one.may_have_run:
+    def _no_upstream_refusal(self, open_call: _OpenCall) -> refusal.Refusal:
+        if open_call.may_have_run:
             return refusal.upstream_failed(
                 refusal.Executed.UNKNOWN,
                 "Send the call again; model calls may be repeated",
             )
-        return refusal.no_upstream(one.call.target)
+        return refusal.no_upstream(open_call.call.target)
 
-    def _wait_ms(
+    def _estimated_wait_ms(
         self,
         call: routing.Call,
-        servers: list[routing.UpstreamState],
+        eligible: list[routing.UpstreamState],
         now_ms: int,
     ) -> float:
-        ahead = self.queue.ahead_of(call, now_ms) + 1
+        ahead = self.queue.count_ahead_of(call, now_ms) + 1
         rate = sum(
-            u.most(call.promise) / self._entries / u.speed.call_ms
-            for u in servers
+            u.max_calls(call.promise)
+            / self._entry_count
+            / u.latency_model.call_ms
+            for u in eligible
         )
         return ahead / max(rate, 1e-6)
 
     def _dispatch(
         self,
-        one: _Open,
+        open_call: _OpenCall,
         candidates: list[routing.UpstreamState],
         now_ms: int,
     ) -> Dispatch:
-        self._turn += 1
+        self._dispatch_count += 1
         chosen = routing.choose(
             self._policy,
-            one.call,
+            open_call.call,
             candidates,
-            self._place,
+            self._location,
             now_ms,
-            self._turn,
+            self._dispatch_count,
             self._rng,
-            routing.home_of(one.call, self._holders(one.call.target)),
+            routing.prefix_home(
+                open_call.call, self._holders(open_call.call.target)
+            ),
         )
         state = self.upstreams[chosen.upstream]
-        one.state = state
-        state.own += 1
+        open_call.state = state
+        state.own_calls += 1
         state.prefill_tokens += chosen.uncached_tokens
-        one.in_prefill = True
-        state.history.routed(one.call.blocks)
-        one.upstream = chosen.upstream
-        one.chosen = chosen
-        one.attempts += 1
-        self.queue.dispatched(one.call.caller)
+        open_call.in_prefill = True
+        state.prefix_cache.record_prompt(open_call.call.blocks)
+        open_call.upstream = chosen.upstream
+        open_call.chosen = chosen
+        open_call.attempts += 1
+        self.queue.count_dispatch(open_call.call.caller)
         return Dispatch(
-            one.call.call_id,
+            open_call.call.call_id,
             chosen.upstream,
             state.declared.url,
-            one.attempts,
+            open_call.attempts,
             chosen,
         )
 
-    def _refuse(self, one: _Open, answer: refusal.Refusal) -> Refuse:
-        self._open.pop(one.call.call_id, None)
-        return Refuse(one.call.call_id, answer)
+    def _refuse(self, open_call: _OpenCall, answer: refusal.Refusal) -> Refuse:
+        self._open_calls.pop(open_call.call.call_id, None)
+        return Refuse(open_call.call.call_id, answer)
 
     def finished(
         self,
         call_id: str,
-        seen: estimates.Observation,
+        observation: estimates.Observation,
         complete: bool,
         now_ms: int,
     ) -> list[Action]:
-        """Learns from a call that ended and gives its room away.
+        """Handles the end of a call and dispatches queued ones.
 
         Args:
           call_id: The call.
-          seen: What it showed; the estimates at dispatch are filled in.
-          complete: False where the caller went away before the end.
+          observation: What was measured; the estimates at dispatch are filled
+            in here.
+          complete: False if the caller disconnected before the end.
           now_ms: Monotonic time.
         """
-        one = self._open.pop(call_id, None)
-        if one is None or one.state is None:
+        open_call = self._open_calls.pop(call_id, None)
+        if open_call is None or open_call.state is None:
             return []
-        self._leave_prefill(one)
-        self._learn(one.state, one, seen, complete)
-        one.state.own -= 1
+        self._end_prefill(open_call)
+        self._learn(open_call.state, open_call, observation, complete)
+        open_call.state.own_calls -= 1
         if complete:
             self.budget.succeeded()
-        return self._drain_queue(now_ms)
+        return self._dispatch_queued(now_ms)
 
     def _learn(
         self,
         state: routing.UpstreamState,
-        one: _Open,
-        seen: estimates.Observation,
+        open_call: _OpenCall,
+        observation: estimates.Observation,
         complete: bool,
     ) -> None:
         state.breaker.succeeded()
         if not complete:
             return
-        if seen.cached_tokens is not None and one.attempts == 1:
-            state.history.observed(
-                one.chosen.known_cached_tokens, seen.cached_tokens
+        if observation.cached_tokens is not None and open_call.attempts == 1:
+            state.prefix_cache.adjust_limit(
+                open_call.chosen.known_cached_tokens, observation.cached_tokens
             )
-        seen = dataclasses.replace(
-            seen,
-            in_batch=one.chosen.in_batch + 1,
-            uncached_tokens=_worked_off(one, seen),
+        observation = dataclasses.replace(
+            observation,
+            in_batch=open_call.chosen.in_batch + 1,
+            uncached_tokens=_prefilled_tokens(open_call, observation),
         )
-        state.speed.observe(seen)
+        state.latency_model.observe(observation)
 
     def first_token(self, call_id: str) -> None:
-        """A call has its first token: its prompt is worked off."""
-        one = self._open.get(call_id)
-        if one is not None:
-            self._leave_prefill(one)
-
-    def _leave_prefill(self, one: _Open) -> None:
-        state = one.state
-        if not one.in_prefill or state is None:
+        """Handles a call's first token: its prompt is processed."""
+        open_call = self._open_calls.get(call_id)
+        if open_call is not None:
+            self._end_prefill(open_call)
+
+    def _end_prefill(self, open_call: _OpenCall) -> None:
+        state = open_call.state
+        if not open_call.in_prefill or state is None:
             return
-        one.in_prefill = False
-        left = state.prefill_tokens - one.chosen.uncached_tokens
-        state.prefill_tokens = max(0.0, left)
+        open_call.in_prefill = False
+        remaining_tokens = (
+            state.prefill_tokens - open_call.chosen.uncached_tokens
+        )
+        state.prefill_tokens = max(0.0, remaining_tokens)
 
     def failed(
         self, call_id: str, failure: FailureKind, now_ms: int
     ) -> list[Action]:
-        """Decides what follows a failed attempt: another one or a refusal."""
-        one = self._open.get(call_id)
-        if one is None:
+        """Handles a failed attempt with a retry or a refusal."""
+        open_call = self._open_calls.get(call_id)
+        if open_call is None:
             return []
-        self._note_failure(one, failure, now_ms)
-        one.excluded.add(one.upstream)
-        one.may_have_run |= isinstance(failure, MayHaveRun)
-        one.upstream = ""
-        one.state = None
-        actions = [self._retry(one, failure, now_ms)]
-        return actions + self._drain_queue(now_ms)
-
-    def _note_failure(
-        self, one: _Open, failure: FailureKind, now_ms: int
+        self._record_failure(open_call, failure, now_ms)
+        open_call.excluded.add(open_call.upstream)
+        open_call.may_have_run |= isinstance(failure, MayHaveRun)
+        open_call.upstream = ""
+        open_call.state = None
+        actions = [self._retry(open_call, failure, now_ms)]
+        return actions + self._dispatch_queued(now_ms)
+
+    def _record_failure(
+        self, open_call: _OpenCall, failure: FailureKind, now_ms: int
     ) -> None:
-        state = one.state
+        state = open_call.state
         if state is None:
             return
-        self._leave_prefill(one)
-        state.own -= 1
+        self._end_prefill(open_call)
+        state.own_calls -= 1
         match failure:
             case NotRun(leaving=True):
-                # The upstream's own word counts at once; the platform's
-                # list would say so only after its lag.
-                state.leaving_seen = True
+                # The upstream's own answer counts at once; the platform's list
+                # would show it only after its lag.
+                state.is_leaving = True
             case NotRun(absent=True):
-                state.absent[one.call.target] = now_ms
+                state.absent[open_call.call.target] = now_ms
             case _:
                 state.breaker.failed(now_ms)
 
-    def _retry(self, one: _Open, failure: FailureKind, now_ms: int) -> Action:
-        call = one.call
+    def _retry(
+        self, open_call: _OpenCall, failure: FailureKind, now_ms: int
+    ) -> Action:
+        call = open_call.call
         if now_ms >= call.deadline_ms:
             executed = refusal.Executed.UNKNOWN
-            return self._refuse(one, refusal.deadline_passed(executed))
-        servers = self._servers(one, now_ms)
-        if not servers:
-            # Every upstream failed it once; what was passing may be over.
-            one.excluded.clear()
-            servers = self._servers(one, now_ms)
-        # What was proved not to have run costs the upstreams nothing; only
-        # work done twice is paid from the budget.
-        free = isinstance(failure, NotRun) and one.attempts < MAX_ATTEMPTS
-        allowed = free or (one.attempts < MAX_ATTEMPTS and self.budget.spend())
-        if not servers or not allowed:
-            return self._refuse(one, self._no_server(one))
-        with_room = _with_room(one.call, servers, self._place, now_ms)
+            return self._refuse(open_call, refusal.deadline_passed(executed))
+        eligible = self._eligible_upstreams(open_call, now_ms)
+        if not eligible:
+            # Every upstream has failed this call once; a passing fault may
+            # be over.
+            open_call.excluded.clear()
+            eligible = self._eligible_upstreams(open_call, now_ms)
+        # A retry of what was proved not to have run costs the upstreams
+        # nothing; only work that may be done twice spends the retry budget.
+        is_free = (
+            isinstance(failure, NotRun) and open_call.attempts < MAX_ATTEMPTS
+        )
+        allowed = is_free or (
+            open_call.attempts < MAX_ATTEMPTS and self.budget.spend()
+        )
+        if not eligible or not allowed:
+            return self._refuse(open_call, self._no_upstream_refusal(open_call))
+        with_capacity = _upstreams_with_capacity(
+            open_call.call, eligible, self._location, now_ms
+        )
         # A call that was admitted once does not queue again.
-        action = self._dispatch(one, with_room or servers, now_ms)
-        if free:
+        action = self._dispatch(open_call, with_capacity or eligible, now_ms)
+        if is_free:
             return action
-        backoff_ms = retry.backoff_ms(one.attempts, self._rng)
+        backoff_ms = retry.backoff_ms(open_call.attempts, self._rng)
         return dataclasses.replace(action, backoff_ms=backoff_ms)
 
     def abandoned(self, call_id: str, now_ms: int) -> list[Action]:
-        """The caller went away while its call waited."""
+        """Handles that the caller of an open call disconnected."""
         self.queue.remove(call_id)
-        one = self._open.pop(call_id, None)
-        if one is not None and one.state is not None:
-            self._leave_prefill(one)
-            one.state.own -= 1
-        return self._drain_queue(now_ms)
+        open_call = self._open_calls.pop(call_id, None)
+        if open_call is not None and open_call.state is not None:
+            self._end_prefill(open_call)
+            open_call.state.own_calls -= 1
+        return self._dispatch_queued(now_ms)
 
     def tick(self, now_ms: int) -> list[Action]:
-        """Refuses what waited too long and dispatches what found room."""
+        """Refuses calls that waited too long; dispatches what has capacity."""
         actions: list[Action] = []
         for call in self.queue.expired(now_ms):
             self.queue.remove(call.call_id)
-            one = self._open[call.call_id]
+            open_call = self._open_calls[call.call_id]
             if now_ms >= call.deadline_ms:
                 answer = refusal.deadline_passed(refusal.Executed.NO)
             else:
                 answer = refusal.overloaded(2)
-            actions.append(self._refuse(one, answer))
-        return actions + self._drain_queue(now_ms)
+            actions.append(self._refuse(open_call, answer))
+        return actions + self._dispatch_queued(now_ms)
 
-    def _drain_queue(self, now_ms: int) -> list[Action]:
+    def _dispatch_queued(self, now_ms: int) -> list[Action]:
         actions: list[Action] = []
         if not len(self.queue):
             return actions
-        for call in self.queue.in_order(now_ms):
-            one = self._open[call.call_id]
-            servers = self._servers(one, now_ms)
-            with_room = _with_room(call, servers, self._place, now_ms)
-            if with_room:
+        for call in self.queue.by_priority(now_ms):
+            open_call = self._open_calls[call.call_id]
+            eligible = self._eligible_upstreams(open_call, now_ms)
+            with_capacity = _upstreams_with_capacity(
+                call, eligible, self._location, now_ms
+            )
+            if with_capacity:
                 self.queue.remove(call.call_id)
-                actions.append(self._dispatch(one, with_room, now_ms))
+                actions.append(self._dispatch(open_call, with_capacity, now_ms))
         return actions
 
 
-def _worked_off(one: _Open, seen: estimates.Observation) -> float:
-    """Returns the prompt tokens that were worked off for a call.
+def _prefilled_tokens(
+    open_call: _OpenCall, observation: estimates.Observation
+) -> float:
+    """Returns the prompt tokens that were processed until the first token.
 
-    Where the engine says what it had cached, that counts and not the guess
-    at dispatch: a slope fitted to wrong guesses comes out too flat, and then
-    prefixes would no longer decide anything.
+    The engine's own count of cached tokens is used if there is one, not the
+    estimate at dispatch: fitted to wrong estimates, the slope comes out too
+    flat, and cached prefixes would no longer influence routing.
     """
-    chosen = one.chosen
-    if seen.cached_tokens is None:
+    chosen = open_call.chosen
+    if observation.cached_tokens is None:
         return chosen.prefill_tokens
     ahead = chosen.prefill_tokens - chosen.uncached_tokens
-    return max(0.0, one.call.prompt_tokens - seen.cached_tokens) + ahead
+    return (
+        max(0.0, open_call.call.prompt_tokens - observation.cached_tokens)
+        + ahead
+    )
 
 
-def _with_room(
+def _upstreams_with_capacity(
     call: routing.Call,
-    servers: list[routing.UpstreamState],
-    place: routing.EntryLocation,
+    eligible: list[routing.UpstreamState],
+    location: routing.EntryLocation,
     now_ms: int,
 ) -> list[routing.UpstreamState]:
-    """Returns where a call may go now.
+    """Returns the upstreams to which a call may go now.
 
-    Past saturation each call that is let in late pushes others past their
-    promise too, and soon nobody's is kept. So a call goes where it keeps its
-    promise by estimate, or where there is spare room.
+    Beyond saturation each call that is admitted late makes others miss their
+    latency targets too, until no call meets its target. A call is therefore
+    admitted only where it meets its target by estimate, or where there is
+    spare capacity.
     """
-    home = routing.home_of(call, servers)
+    home = routing.prefix_home(call, eligible)
     return [
         upstream
-        for upstream in servers
-        if upstream.has_room(call.promise, now_ms)
+        for upstream in eligible
+        if upstream.has_capacity(call.promise, now_ms)
         and (
-            upstream.has_spare_room(call.promise, now_ms)
+            upstream.has_spare_capacity(call.promise, now_ms)
             or routing.estimate(
                 call,
                 upstream,
-                place,
+                location,
                 now_ms,
                 upstream.declared.name == home,
             ).keeps_promise
--- a/sesamecross/ops/estimates.py
+++ b/sesamecross/ops/estimates.py
@@ -1,64 +1,78 @@
-"""Learns how fast an upstream is, from the calls that this entry relayed.
+"""Estimates an upstream's latency from the calls that this entry relayed.
 
-Why: declared figures are guesses, engines differ, and reports lag. The time
-between tokens grows about linearly with the calls in the batch, and the time
-to the first token with the uncached prompt; both slopes are fitted with a
-forgetting factor and start from sane values.
+Declared figures are guesses, engines differ, and reports lag. The time between
+tokens grows about linearly with the calls in the batch, and the time to the
+first token with the uncached prompt tokens. Both lines are fitted by least
+squares with a forgetting factor, starting from plausible values.
 """
 
 import dataclasses
 import math
 
-# Each observation's weight falls by this factor with the next one.
-FORGET = 0.98
-# The fit starts as if it had seen this many calls at the starting values.
+# Each new observation multiplies the weight of the earlier ones by this.
+FORGETTING_FACTOR = 0.98
+# The initial line weighs as much as this many observations.
 PRIOR_WEIGHT = 4.0
 
 
 class LinearFit:
     """A line y = base + slope * x, fitted by weighted least squares."""
 
-    __slots__ = ("_n", "_x", "_y", "_xx", "_xy", "_base", "_slope")
+    __slots__ = (
+        "_sum_weight",
+        "_sum_x",
+        "_sum_y",
+        "_sum_xx",
+        "_sum_xy",
+        "_base",
+        "_slope",
+    )
 
     def __init__(self, base: float, slope: float, typical_x: float):
         self._base = base
         self._slope = slope
-        self._n = self._x = self._y = self._xx = self._xy = 0.0
-        # Two points of the starting line make it well determined.
+        self._sum_weight = self._sum_x = self._sum_y = self._sum_xx = (
+            self._sum_xy
+        ) = 0.0
+        # Two points on the initial line make the fit well determined.
         for x in (0.0, 2 * typical_x):
             self._add(x, base + slope * x, PRIOR_WEIGHT / 2)
 
     @property
     def slope(self) -> float:
-        """By how much y grows with x, never negative."""
+        """Increase of y per unit of x, never negative."""
         return self._slope
 
     def _add(self, x: float, y: float, weight: float) -> None:
-        self._n += weight
-        self._x += weight * x
-        self._y += weight * y
-        self._xx += weight * x * x
-        self._xy += weight * x * y
+        self._sum_weight += weight
+        self._sum_x += weight * x
+        self._sum_y += weight * y
+        self._sum_xx += weight * x * x
+        self._sum_xy += weight * x * y
 
     def observe(self, x: float, y: float) -> None:
-        """Takes in one observation and fits anew."""
-        self._n *= FORGET
-        self._x *= FORGET
-        self._y *= FORGET
-        self._xx *= FORGET
-        self._xy *= FORGET
+        """Adds an observation and refits the line."""
+        self._sum_weight *= FORGETTING_FACTOR
+        self._sum_x *= FORGETTING_FACTOR
+        self._sum_y *= FORGETTING_FACTOR
+        self._sum_xx *= FORGETTING_FACTOR
+        self._sum_xy *= FORGETTING_FACTOR
         self._add(x, y, 1.0)
-        spread = self._n * self._xx - self._x * self._x
-        # Calls that all saw the same x say nothing of the slope: then the
-        # line is only moved up or down.
-        if spread > 1e-3 * self._n * self._n:
-            slope = (self._n * self._xy - self._x * self._y) / spread
+        determinant = (
+            self._sum_weight * self._sum_xx - self._sum_x * self._sum_x
+        )
+        # Observations at a single x don't determine the slope; then only the
+        # base is adjusted.
+        if determinant > 1e-3 * self._sum_weight * self._sum_weight:
+            slope = (
+                self._sum_weight * self._sum_xy - self._sum_x * self._sum_y
+            ) / determinant
             self._slope = max(0.0, slope)
-        base = (self._y - self._slope * self._x) / self._n
+        base = (self._sum_y - self._slope * self._sum_x) / self._sum_weight
         self._base = max(0.0, base)
 
-    def where(self, y: float) -> float:
-        """Returns where the line reaches `y`; 0 if it begins above."""
+    def solve_for(self, y: float) -> float:
+        """Returns the x at which the line reaches `y`; 0 if it starts above."""
         if self._slope <= 0:
             return math.inf if self._base <= y else 0.0
         return max(0.0, (y - self._base) / self._slope)
@@ -68,77 +82,81 @@
         return self._base + self._slope * x
 
 
-START_BETWEEN_MS = 15.0
-START_BETWEEN_PER_CALL_MS = 0.5
-START_FIRST_MS = 25.0
-START_PREFILL_MS_PER_TOKEN = 0.2
-START_CALL_MS = 1500.0
+INITIAL_BETWEEN_MS = 15.0
+INITIAL_BETWEEN_PER_CALL_MS = 0.5
+INITIAL_FIRST_MS = 25.0
+INITIAL_PREFILL_MS_PER_TOKEN = 0.2
+INITIAL_CALL_MS = 1500.0
 _TYPICAL_CALLS = 8.0
 _TYPICAL_PROMPT = 256.0
-_CALL_WEIGHT = 0.05
+_CALL_MS_SMOOTHING = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observation:
-    """What one relayed call showed.
+    """Measurements of one relayed call.
 
     Attributes:
-      in_batch: Calls thought to be at the upstream when it was dispatched.
-      uncached_tokens: Prompt tokens thought to be uncached then.
-      first_ms: From dispatch to the first token; None if none came.
+      in_batch: Estimated calls at the upstream when it was dispatched.
+      uncached_tokens: Estimated uncached prompt tokens at that time.
+      first_ms: From dispatch to the first token; None if there was none.
       between_ms: Mean time between later tokens; None for fewer than two.
-      whole_ms: From dispatch to the end.
-      cached_tokens: Prompt tokens that the engine says it had cached; None
-        where it does not say.
+      duration_ms: From dispatch to the end.
+      cached_tokens: Cached prompt tokens as the engine reports them; None if
+        it does not.
     """
 
     in_batch: float
     uncached_tokens: float
     first_ms: float | None
     between_ms: float | None
-    whole_ms: float
+    duration_ms: float
     cached_tokens: int | None = None
 
 
-class UpstreamSpeed:
-    """What is learnt of one upstream."""
+class UpstreamLatencyModel:
+    """Fitted latencies of one upstream."""
 
     __slots__ = ("_between", "_first", "_call_ms")
 
     def __init__(self) -> None:
         self._between = LinearFit(
-            START_BETWEEN_MS, START_BETWEEN_PER_CALL_MS, _TYPICAL_CALLS
+            INITIAL_BETWEEN_MS, INITIAL_BETWEEN_PER_CALL_MS, _TYPICAL_CALLS
         )
         self._first = LinearFit(
-            START_FIRST_MS, START_PREFILL_MS_PER_TOKEN, _TYPICAL_PROMPT
+            INITIAL_FIRST_MS, INITIAL_PREFILL_MS_PER_TOKEN, _TYPICAL_PROMPT
         )
-        self._call_ms = START_CALL_MS
+        self._call_ms = INITIAL_CALL_MS
 
     @property
     def call_ms(self) -> float:
-        """How long a call takes, smoothed."""
+        """Duration of a call, exponentially smoothed."""
         return self._call_ms
 
-    def observe(self, seen: Observation) -> None:
-        """Learns from one call."""
-        if seen.first_ms is not None:
-            self._first.observe(seen.uncached_tokens, seen.first_ms)
-        if seen.between_ms is not None:
-            self._between.observe(seen.in_batch, seen.between_ms)
-        self._call_ms += (seen.whole_ms - self._call_ms) * _CALL_WEIGHT
+    def observe(self, observation: Observation) -> None:
+        """Updates the model with one call."""
+        if observation.first_ms is not None:
+            self._first.observe(
+                observation.uncached_tokens, observation.first_ms
+            )
+        if observation.between_ms is not None:
+            self._between.observe(observation.in_batch, observation.between_ms)
+        self._call_ms += (
+            observation.duration_ms - self._call_ms
+        ) * _CALL_MS_SMOOTHING
 
     def first_ms(self, uncached_tokens: float) -> float:
-        """Estimates the time to the first token without waiting."""
+        """Estimates the time to the first token without queueing."""
         return self._first.predict(uncached_tokens)
 
-    def prompt_ms(self, uncached_tokens: float) -> float:
-        """Estimates the work that uncached prompt tokens are."""
+    def prefill_ms(self, uncached_tokens: float) -> float:
+        """Estimates the processing time of uncached prompt tokens."""
         return self._first.slope * uncached_tokens
 
-    def most_calls(self, between_ms: float) -> float:
-        """Estimates how many calls keep a time between tokens."""
-        return self._between.where(between_ms)
+    def max_calls_for(self, between_ms: float) -> float:
+        """Estimates how many concurrent calls keep within `between_ms`."""
+        return self._between.solve_for(between_ms)
 
     def between_ms(self, in_batch: float) -> float:
-        """Estimates the time between tokens with so many calls."""
+        """Estimates the time between tokens with `in_batch` calls."""
         return self._between.predict(in_batch)
--- a/sesamecross/ops/prefixes.py
+++ b/sesamecross/ops/prefixes.py
@@ -1,8 +1,8 @@
-"""What prompt prefixes an upstream probably has cached.
+"""Estimates which prompt prefixes an upstream has cached.
 
-Why: an uncached prompt costs most of the time to the first token, and the
-engines' own cache events come late and with gaps. What this entry routed
-where is known at once; it is forgotten by size, as the engines forget.
+Uncached prompt tokens make up most of the time to the first token, and the
+engines' own cache events arrive late and with gaps. What this entry routed is
+known at once. It is evicted by size, as in the engines' caches.
 """
 
 from collections import OrderedDict
@@ -12,69 +12,73 @@
 BLOCK_CHARS = 256
 CHARS_PER_TOKEN = 4
 BLOCK_TOKENS = BLOCK_CHARS // CHARS_PER_TOKEN
-BLOCKS_KEPT = 8192
-LEAST_BLOCKS = 32
-SHRINK = 0.97
-GROW = 0.5
+MAX_BLOCKS = 8192
+MIN_BLOCKS = 32
+LIMIT_SHRINK_FACTOR = 0.97
+LIMIT_GROWTH_BLOCKS = 0.5
 
 
 def block_hashes(target: str, prompt: str) -> tuple[int, ...]:
-    """Returns a name for each whole leading block of a prompt.
+    """Returns a hash for each whole leading block of a prompt.
 
-    Each name covers all text before it too, so two prompts share a name
-    only where they share the whole prefix.
+    Each hash covers all text before it too, so two prompts share a hash only
+    where they share the whole prefix.
     """
-    names = []
+    hashes = []
     digest = xxhash.xxh3_64(target.encode())
     for end in range(BLOCK_CHARS, len(prompt) + 1, BLOCK_CHARS):
         digest.update(prompt[end - BLOCK_CHARS : end].encode())
-        names.append(digest.intdigest())
-    return tuple(names)
+        hashes.append(digest.intdigest())
+    return tuple(hashes)
 
 
-class PrefixHistory:
-    """Blocks routed to one upstream, the least recently used go first."""
+class PrefixCacheEstimate:
+    """LRU set of the prompt blocks that were routed to one upstream."""
 
-    __slots__ = ("_blocks", "_limit", "_most")
+    __slots__ = ("_blocks", "_limit", "_max_limit")
 
-    def __init__(self, limit: int = BLOCKS_KEPT):
+    def __init__(self, limit: int = MAX_BLOCKS):
         self._blocks: OrderedDict[int, None] = OrderedDict()
         self._limit = float(limit)
-        self._most = limit
+        self._max_limit = limit
 
-    def cached_tokens(self, names: tuple[int, ...]) -> int:
+    def cached_tokens(self, hashes: tuple[int, ...]) -> int:
         """Returns how many leading tokens are probably cached."""
         count = 0
-        for name in names:
-            if name not in self._blocks:
+        for block_hash in hashes:
+            if block_hash not in self._blocks:
                 break
             count += 1
         return count * BLOCK_CHARS // CHARS_PER_TOKEN
 
-    def routed(self, names: tuple[int, ...]) -> None:
-        """Notes that a prompt went to this upstream."""
-        for name in names:
-            self._blocks[name] = None
-            self._blocks.move_to_end(name)
-        self._forget()
+    def record_prompt(self, hashes: tuple[int, ...]) -> None:
+        """Records that a prompt was sent to this upstream."""
+        for block_hash in hashes:
+            self._blocks[block_hash] = None
+            self._blocks.move_to_end(block_hash)
+        self._evict()
 
-    def _forget(self) -> None:
+    def _evict(self) -> None:
         while len(self._blocks) > self._limit:
             self._blocks.popitem(last=False)
 
-    def observed(self, expected_tokens: float, cached_tokens: int) -> None:
-        """Learns how much the upstream keeps from what it says it had.
+    def adjust_limit(self, expected_tokens: float, cached_tokens: int) -> None:
+        """Adapts the size limit to the cache hits that the upstream reports.
 
-        The upstream's cache is shared with other entries' calls, so its
-        size can't be declared. Fewer cached tokens than expected mean that
-        it forgets sooner than this history does.
+        The upstream's cache is shared with other entries' calls, so its size
+        can't be declared. Fewer cached tokens than expected mean that it evicts
+        sooner than this estimate does.
         """
         if cached_tokens + BLOCK_TOKENS < expected_tokens:
-            self._limit = max(LEAST_BLOCKS, len(self._blocks) * SHRINK)
+            self._limit = max(
+                MIN_BLOCKS, len(self._blocks) * LIMIT_SHRINK_FACTOR
+            )
         else:
-            self._limit = min(self._most, self._limit + GROW)
-        self._forget()
+            self._limit = min(
+                self._max_limit, self._limit + LIMIT_GROWTH_BLOCKS
+            )
+        self._evict()
 
     def clear(self) -> None:
-        """Forgets all: the upstream restarted with an empty cache."""
+        """Removes all blocks: the upstream restarted with an empty cache."""
         self._blocks.clear()
--- a/sesamecross/ops/retry.py
+++ b/sesamecross/ops/retry.py
@@ -1,39 +1,39 @@
-"""How much may be retried: a budget that is a share of what succeeds.
+"""Retry budget, backoff and circuit breaker.
 
-Why: after an outage every caller's call fails once, and retrying each of them
-doubles the load on what is left. The budget grows by a fraction with each
-success and is spent by one with each retry, so retries stay a bounded share
-of the load whatever happens.
+After an outage every caller's call fails once, and retrying each of them
+doubles the load on the remaining upstreams. The budget grows by a fraction
+with each success and each retry spends one, so retries stay a bounded share of
+the load.
 """
 
 import random
 
-SHARE = 0.1
-MOST = 20.0
-START = 5.0
-FIRST_PAUSE_MS = 10
-LONGEST_PAUSE_MS = 500
+TOKENS_PER_SUCCESS = 0.1
+MAX_TOKENS = 20.0
+INITIAL_TOKENS = 5.0
+BACKOFF_BASE_MS = 10
+BACKOFF_CAP_MS = 500
 
 
 class RetryBudget:
-    """One entry's budget. Deterministic."""
+    """One entry's retry budget, a token bucket filled by successes."""
 
     __slots__ = ("_tokens",)
 
     def __init__(self) -> None:
-        self._tokens = START
+        self._tokens = INITIAL_TOKENS
 
     @property
     def tokens(self) -> float:
-        """Retries that could be made now."""
+        """Number of retries available now."""
         return self._tokens
 
     def succeeded(self) -> None:
-        """Earns a share of a retry."""
-        self._tokens = min(MOST, self._tokens + SHARE)
+        """Adds a fraction of a retry."""
+        self._tokens = min(MAX_TOKENS, self._tokens + TOKENS_PER_SUCCESS)
 
     def spend(self) -> bool:
-        """Takes one retry if there is one."""
+        """Takes one retry if available; tells whether it was."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -41,37 +41,39 @@
 
 
 def backoff_ms(attempt: int, rng: random.Random) -> int:
-    """Returns the pause before retry number `attempt`, from 1, jittered."""
-    longest = min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** (attempt - 1))
-    return int(rng.uniform(0, longest))
+    """Returns the backoff before retry `attempt` (from 1), with full jitter."""
+    cap_ms = min(BACKOFF_CAP_MS, BACKOFF_BASE_MS * 2 ** (attempt - 1))
+    return int(rng.uniform(0, cap_ms))
 
 
-class Breaker:
-    """Bans an upstream for growing times after failures in a row."""
+class CircuitBreaker:
+    """Blocks an upstream after consecutive failures, each time for longer."""
 
-    __slots__ = ("_failures", "_until_ms")
+    __slots__ = ("_consecutive_failures", "_open_until_ms")
 
-    THRESHOLD = 3
-    FIRST_BAN_MS = 500
-    LONGEST_BAN_MS = 15_000
+    FAILURE_THRESHOLD = 3
+    FIRST_OPEN_MS = 500
+    MAX_OPEN_MS = 15_000
 
     def __init__(self) -> None:
-        self._failures = 0
-        self._until_ms = 0
+        self._consecutive_failures = 0
+        self._open_until_ms = 0
 
     def allows(self, now_ms: int) -> bool:
         """Tells whether calls may go to the upstream."""
-        return now_ms >= self._until_ms
+        return now_ms >= self._open_until_ms
 
     def succeeded(self) -> None:
-        """Forgets failures."""
-        self._failures = 0
-        self._until_ms = 0
+        """Resets the failure count."""
+        self._consecutive_failures = 0
+        self._open_until_ms = 0
 
     def failed(self, now_ms: int) -> None:
-        """Counts a failure; bans after `THRESHOLD` in a row."""
-        self._failures += 1
-        over = self._failures - self.THRESHOLD
-        if over >= 0:
-            ban_ms = min(self.LONGEST_BAN_MS, self.FIRST_BAN_MS * 2**over)
-            self._until_ms = now_ms + ban_ms
+        """Counts a failure; `FAILURE_THRESHOLD` in a row block the upstream."""
+        self._consecutive_failures += 1
+        excess_failures = self._consecutive_failures - self.FAILURE_THRESHOLD
+        if excess_failures >= 0:
+            open_ms = min(
+                self.MAX_OPEN_MS, self.FIRST_OPEN_MS * 2**excess_failures
+            )
+            self._open_until_ms = now_ms + open_ms
--- a/sesamecross/ops/routing.py
+++ b/sesamecross/ops/routing.py
@@ -1,9 +1,9 @@
-"""Chooses the upstream for a call by what it will cost.
+"""Chooses the upstream for a call by estimated cost.
 
-Why: a call goes where it can still make its promise: few calls ahead of it,
-its prompt's prefix cached, its adapter resident, near, and without paid
-traffic. Many entries with one stale view must not all pick the same upstream,
-so the choice is spread over those that are about as good.
+A call goes where it can still meet its latency target: few calls ahead of it,
+its prompt's prefix cached, its adapter resident, nearby, and without paid
+traffic. Many entries with the same stale view must not all choose the same
+upstream, so the choice is spread over those of about equal cost.
 """
 
 from collections.abc import Iterable
@@ -16,35 +16,36 @@
 from sesamecross.ops import retry
 from sesamecross.utils import rendezvous
 
-# What a report says of others' calls loses half its weight in this time.
+# The weight of other entries' calls in a report halves in this time.
 REPORT_HALF_LIFE_MS = 2000
-# Added to the estimate for traffic that is paid by volume.
+# Added to the cost for traffic that is billed by volume.
 PAID_TRAFFIC_MS = 150.0
 ZONE_DISTANCE_MS = 1.0
-# Candidates within this factor of the best share the calls.
-SPREAD = 1.15
+# Candidates whose cost is within this factor of the lowest share the calls.
+SPREAD_FACTOR = 1.15
 SPREAD_MS = 5.0
-# Part of a prompt's blocks thought to be cached at its home upstream before
-# this entry has sent it there itself.
-HOME_TRUST = 0.9
-LEAST_CALLS = 2.0
-# Up to this part of its room an upstream also takes calls that will be late.
+# Share of a prompt's blocks assumed to be cached at its home upstream before
+# this entry itself has sent the prefix there.
+HOME_CACHED_SHARE = 0.9
+MIN_CALLS = 2.0
+# Up to this share of its capacity an upstream also takes calls that will miss
+# their target.
 SPARE_SHARE = 0.6
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoundRobin:
-    """The naive baseline: resident upstreams in turn."""
+    """Baseline: resident upstreams in turn."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeastOutstanding:
-    """A baseline: the fewest of this entry's own calls."""
+    """Baseline: the upstream with the fewest open calls of this entry."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LowestEstimatedCost:
-    """The product's policy: by estimated time and promise."""
+    """The production policy: lowest cost among those meeting the target."""
 
 
 Policy = RoundRobin | LeastOutstanding | LowestEstimatedCost
@@ -57,7 +58,7 @@
 
 
 def policy_of(name: str) -> Policy:
-    """Returns the policy that settings name."""
+    """Returns the policy with a name from the settings."""
     return _POLICIES[name]
 
 
@@ -66,9 +67,9 @@
     """One call to a model, as routing sees it.
 
     Attributes:
-      target: What the caller named, a model or an adapter.
+      target: The model or adapter that the caller named.
       prompt_tokens: Estimated from the prompt's length.
-      blocks: Names of the prompt's leading blocks.
+      blocks: Hashes of the prompt's leading blocks.
     """
 
     call_id: str
@@ -87,77 +88,83 @@
     """What this entry knows of one engine.
 
     Attributes:
-      own: Calls of this entry that are open there.
-      entries: Entries that share the upstream.
+      own_calls: This entry's open calls there.
+      entries: Number of entries that share the upstream.
       prefill_tokens: Uncached prompt tokens of this entry's calls there that
         have no first token yet.
-      breaker: Keeps calls away after failures in a row.
-      leaving_seen: The upstream itself said so, ahead of any report.
-      absent: Targets that the upstream said it does not hold, by when it
-        said so; a later report overrules it.
+      breaker: Blocks calls after consecutive failures.
+      is_leaving: The upstream's own answer that it is leaving, ahead of any
+        report, or an operator's drain mark.
+      absent: Targets that the upstream said it does not hold, with the time of
+        that answer in monotonic ms; cleared by a later report.
     """
 
     declared: data.Upstream
     region: str
     report: data.UpstreamReport | None = None
     reported_ms: int = 0
-    own_at_report: int = 0
-    own: int = 0
+    own_calls_at_report: int = 0
+    own_calls: int = 0
     entries: int = 1
     prefill_tokens: float = 0.0
-    breaker: retry.Breaker = dataclasses.field(default_factory=retry.Breaker)
-    speed: estimates.UpstreamSpeed = dataclasses.field(
-        default_factory=estimates.UpstreamSpeed
+    breaker: retry.CircuitBreaker = dataclasses.field(
+        default_factory=retry.CircuitBreaker
     )
-    history: prefixes.PrefixHistory = dataclasses.field(
-        default_factory=prefixes.PrefixHistory
+    latency_model: estimates.UpstreamLatencyModel = dataclasses.field(
+        default_factory=estimates.UpstreamLatencyModel
     )
-    leaving_seen: bool = False
+    prefix_cache: prefixes.PrefixCacheEstimate = dataclasses.field(
+        default_factory=prefixes.PrefixCacheEstimate
+    )
+    is_leaving: bool = False
     absent: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def in_batch(self, now_ms: int) -> float:
-        """Estimates the calls at the upstream, this entry's and others'."""
+        """Estimates the calls at the upstream, of this and other entries."""
         if self.report is None:
-            return float(self.own)
+            return float(self.own_calls)
         total = self.report.running + self.report.waiting
-        others = max(0, total - self.own_at_report)
+        others = max(0, total - self.own_calls_at_report)
         age_ms = max(0, now_ms - self.reported_ms)
-        return self.own + others * 0.5 ** (age_ms / REPORT_HALF_LIFE_MS)
+        return self.own_calls + others * 0.5 ** (age_ms / REPORT_HALF_LIFE_MS)
 
     def may_serve(self, target: str, now_ms: int) -> bool:
-        """Tells whether new work for `target` may go there."""
+        """Tells whether new calls for `target` may go there."""
         report = self.report
         if report is None or not report.reachable:
             return False
-        if report.leaving or self.leaving_seen:
+        if report.leaving or self.is_leaving:
             return False
         if not self.breaker.allows(now_ms) or target in self.absent:
             return False
         return target in report.resident
 
-    def most(self, promise: data.Promise) -> float:
-        """Estimates how many calls may be there for a promise to hold."""
-        most = self.speed.most_calls(promise.between_tokens_ms)
-        return min(max(most, LEAST_CALLS), self.declared.concurrency)
+    def max_calls(self, promise: data.Promise) -> float:
+        """Estimates how many concurrent calls still meet a latency target."""
+        max_calls = self.latency_model.max_calls_for(promise.between_tokens_ms)
+        return min(max(max_calls, MIN_CALLS), self.declared.concurrency)
 
-    def has_room(self, promise: data.Promise, now_ms: int) -> bool:
+    def has_capacity(self, promise: data.Promise, now_ms: int) -> bool:
         """Tells whether one more call of this entry may be open there.
 
         Reports lag, so an entry may always use its even share.
         """
-        most = self.most(promise)
-        share = max(LEAST_CALLS, most / self.entries)
-        return self.own + 1 <= share or self.in_batch(now_ms) + 1 <= most
+        max_calls = self.max_calls(promise)
+        share = max(MIN_CALLS, max_calls / self.entries)
+        return (
+            self.own_calls + 1 <= share
+            or self.in_batch(now_ms) + 1 <= max_calls
+        )
 
-    def has_spare_room(self, promise: data.Promise, now_ms: int) -> bool:
-        """Tells whether a call that will be late harms nobody there."""
-        spare = self.most(promise) * SPARE_SHARE
-        return self.in_batch(now_ms) + 1 <= max(LEAST_CALLS, spare)
+    def has_spare_capacity(self, promise: data.Promise, now_ms: int) -> bool:
+        """Tells whether a call that will be late delays no others there."""
+        spare_calls = self.max_calls(promise) * SPARE_SHARE
+        return self.in_batch(now_ms) + 1 <= max(MIN_CALLS, spare_calls)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Estimate:
-    """What a call would cost at one upstream, in milliseconds.
+    """The cost of a call at one upstream, times in milliseconds.
 
     Attributes:
       uncached_tokens: Of the call's prompt.
@@ -178,7 +185,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryLocation:
-    """Where the entry stands."""
+    """Where the entry runs, and one-way delays to other regions in ms."""
 
     zone: str
     region: str
@@ -188,46 +195,48 @@
 def estimate(
     call: Call,
     upstream: UpstreamState,
-    place: EntryLocation,
+    location: EntryLocation,
     now_ms: int,
     is_home: bool = False,
 ) -> Estimate:
-    """Returns what `call` would cost at `upstream` now.
+    """Returns the cost of `call` at `upstream` now.
 
     Args:
       call: The call.
-      upstream: Where it would go.
-      place: Where this entry stands.
+      upstream: The candidate.
+      location: This entry's location.
       now_ms: Monotonic time.
-      is_home: Whether calls with this prompt's beginning go there.
+      is_home: Whether the upstream is the home of the prompt's prefix.
     """
     in_batch = upstream.in_batch(now_ms)
-    known = upstream.history.cached_tokens(call.blocks)
-    cached = max(known, _home_tokens(call)) if is_home else known
+    known = upstream.prefix_cache.cached_tokens(call.blocks)
+    cached = max(known, _tokens_cached_at_home(call)) if is_home else known
     uncached = max(0.0, call.prompt_tokens - cached)
     prefill = uncached + upstream.prefill_tokens
-    speed = upstream.speed
-    waits = max(0.0, in_batch + 1 - upstream.declared.concurrency)
-    queue_ms = waits * speed.call_ms / upstream.declared.concurrency
-    distance_ms = _distance_ms(upstream, place)
-    between_ms = speed.between_ms(in_batch + 1)
-    first_ms = 2 * distance_ms + queue_ms + speed.first_ms(prefill)
+    latency_model = upstream.latency_model
+    calls_waiting = max(0.0, in_batch + 1 - upstream.declared.concurrency)
+    queue_ms = (
+        calls_waiting * latency_model.call_ms / upstream.declared.concurrency
+    )
+    distance_ms = _distance_ms(upstream, location)
+    between_ms = latency_model.between_ms(in_batch + 1)
+    first_ms = 2 * distance_ms + queue_ms + latency_model.first_ms(prefill)
     first_ms += between_ms
     waited_ms = now_ms - call.arrived_ms
-    keeps = (
+    meets_promise = (
         waited_ms + first_ms <= call.promise.first_token_ms
         and between_ms <= call.promise.between_tokens_ms
     )
-    # Prompt work delays all others at the upstream as much as the call.
-    cost_ms = first_ms + 4 * between_ms + speed.prompt_ms(uncached)
-    if upstream.region != place.region:
+    # Prefill delays all other calls at the upstream as much as this one.
+    cost_ms = first_ms + 4 * between_ms + latency_model.prefill_ms(uncached)
+    if upstream.region != location.region:
         cost_ms += PAID_TRAFFIC_MS
     return Estimate(
         upstream.declared.name,
         first_ms,
         between_ms,
         cost_ms,
-        keeps,
+        meets_promise,
         in_batch,
         uncached,
         known,
@@ -235,16 +244,16 @@
     )
 
 
-def _home_tokens(call: Call) -> float:
-    """Returns the tokens that a prompt's home upstream may have cached."""
-    return HOME_TRUST * len(call.blocks) * prefixes.BLOCK_TOKENS
+def _tokens_cached_at_home(call: Call) -> float:
+    """Returns the tokens that are probably cached at the prefix's home."""
+    return HOME_CACHED_SHARE * len(call.blocks) * prefixes.BLOCK_TOKENS
 
 
-def home_of(call: Call, upstreams: Iterable[UpstreamState]) -> str:
-    """Returns where calls with this prompt's beginning should go.
+def prefix_home(call: Call, upstreams: Iterable[UpstreamState]) -> str:
+    """Returns the home upstream of the prompt's prefix, "" without a block.
 
-    All entries pick alike, so that a shared prefix is cached at one upstream
-    and not at as many as there are entries.
+    All entries choose the same one, so that a shared prefix is cached at one
+    upstream and not at as many as there are entries.
     """
     if not call.blocks:
         return ""
@@ -252,10 +261,10 @@
     return rendezvous.top(f"prefix/{call.blocks[0]}", names, 1)[0]
 
 
-def _distance_ms(upstream: UpstreamState, place: EntryLocation) -> float:
-    if upstream.region != place.region:
-        return float(place.region_ms.get(upstream.region, 30))
-    if upstream.declared.zone != place.zone:
+def _distance_ms(upstream: UpstreamState, location: EntryLocation) -> float:
+    if upstream.region != location.region:
+        return float(location.region_ms.get(upstream.region, 30))
+    if upstream.declared.zone != location.zone:
         return ZONE_DISTANCE_MS
     return 0.0
 
@@ -264,45 +273,59 @@
     policy: Policy,
     call: Call,
     candidates: Iterable[UpstreamState],
-    place: EntryLocation,
+    location: EntryLocation,
     now_ms: int,
-    turn: int,
+    dispatch_count: int,
     rng: random.Random,
     home: str = "",
 ) -> Estimate | None:
-    """Returns the choice among candidates with room, or None without any.
+    """Returns the chosen candidate's estimate, or None without candidates.
 
     Args:
-      policy: Which rule to follow.
+      policy: The routing policy.
       call: The call.
-      candidates: Upstreams that may serve it and have room.
-      place: Where this entry stands.
+      candidates: Upstreams that may serve it and have capacity.
+      location: This entry's location.
       now_ms: Monotonic time.
-      turn: Counts the calls of this entry, for taking turns.
-      rng: Spreads the choice over about equal candidates.
-      home: Where calls with this prompt's beginning go, if that is known.
+      dispatch_count: Number of this entry's dispatches, for round robin.
+      rng: Spreads the choice over candidates of about equal cost.
+      home: The home of the prompt's prefix, "" if unknown.
     """
-    found = sorted(
+    ranked = sorted(
         (
             estimate(
-                call, upstream, place, now_ms, upstream.declared.name == home
+                call, upstream, location, now_ms, upstream.declared.name == home
             )
             for upstream in candidates
         ),
-        key=lambda one: (one.cost_ms, one.upstream),
+        key=lambda candidate: (candidate.cost_ms, candidate.upstream),
     )
-    if not found:
+    if not ranked:
         return None
     match policy:
         case RoundRobin():
-            found.sort(key=lambda one: one.upstream)
-            return found[turn % len(found)]
+            ranked.sort(key=lambda candidate: candidate.upstream)
+            return ranked[dispatch_count % len(ranked)]
         case LeastOutstanding():
-            own = {u.declared.name: u.own for u in candidates}
-            return min(found, key=lambda one: (own[one.upstream], one.upstream))
+            own_calls = {u.declared.name: u.own_calls for u in candidates}
+            return min(
+                ranked,
+                key=lambda candidate: (
+                    own_calls[candidate.upstream],
+                    candidate.upstream,
+                ),
+            )
         case LowestEstimatedCost():
-            keeping = [one for one in found if one.keeps_promise] or found
-            bound = keeping[0].cost_ms * SPREAD + SPREAD_MS
-            near = [one for one in keeping if one.cost_ms <= bound]
-            return rng.choice(near)
+            meeting_target = [
+                candidate for candidate in ranked if candidate.keeps_promise
+            ] or ranked
+            cost_limit_ms = (
+                meeting_target[0].cost_ms * SPREAD_FACTOR + SPREAD_MS
+            )
+            near_best = [
+                candidate
+                for candidate in meeting_target
+                if candidate.cost_ms <= cost_limit_ms
+            ]
+            return rng.choice(near_best)
     return None
--- a/sesamecross/ops/service_routing.py
+++ b/sesamecross/ops/service_routing.py
@@ -1,7 +1,7 @@
-"""Chooses among the upstreams of a plain service, and judges its calls.
+"""Routes calls to plain services and tells which may be repeated.
 
-Why: whether a call may be repeated is declared, not guessed from luck; where
-nothing is declared, HTTP's own definition of idempotent methods holds.
+Whether a call is idempotent is declared. Where nothing is declared, HTTP's own
+definition of idempotent methods applies.
 """
 
 from collections.abc import Mapping
@@ -21,7 +21,7 @@
     Args:
       service: The declared service.
       method: The HTTP method.
-      path: The path behind `/services/NAME`.
+      path: The path after `/services/NAME`.
     """
     for rule in service.calls:
         if method in rule.methods and path.startswith(rule.path):
@@ -32,13 +32,13 @@
 class ServiceRouter:
     """One entry's choice of service upstreams. Deterministic."""
 
-    __slots__ = ("_zone", "_rng", "_own", "_breakers")
+    __slots__ = ("_zone", "_rng", "_open_calls", "_breakers")
 
     def __init__(self, zone: str, rng: random.Random):
         self._zone = zone
         self._rng = rng
-        self._own: dict[str, int] = {}
-        self._breakers: dict[str, retry.Breaker] = {}
+        self._open_calls: dict[str, int] = {}
+        self._breakers: dict[str, retry.CircuitBreaker] = {}
 
     def choose(
         self,
@@ -48,10 +48,10 @@
         excluded: frozenset[str],
         now_ms: int,
     ) -> data.Upstream | None:
-        """Returns the upstream for one call, or None if there is none.
+        """Returns the upstream for a call, or None if there is none.
 
-        A call may be older than the declarations, so a service may name
-        upstreams that are not declared any more.
+        A call may have begun under older declarations, so its service may name
+        upstreams that are no longer declared.
         """
         names = [
             name
@@ -65,20 +65,22 @@
             return None
         local = [n for n in names if upstreams[n].zone == self._zone]
         pool = local or names
-        least = min(self._own.get(name, 0) for name in pool)
-        best = [n for n in pool if self._own.get(n, 0) == least]
-        return upstreams[self._rng.choice(sorted(best))]
+        fewest_calls = min(self._open_calls.get(name, 0) for name in pool)
+        least_loaded = [
+            n for n in pool if self._open_calls.get(n, 0) == fewest_calls
+        ]
+        return upstreams[self._rng.choice(sorted(least_loaded))]
 
-    def _breaker(self, name: str) -> retry.Breaker:
-        return self._breakers.setdefault(name, retry.Breaker())
+    def _breaker(self, name: str) -> retry.CircuitBreaker:
+        return self._breakers.setdefault(name, retry.CircuitBreaker())
 
     def call_started(self, name: str) -> None:
-        """Counts a call that is open at an upstream."""
-        self._own[name] = self._own.get(name, 0) + 1
+        """Counts a call that was opened at an upstream."""
+        self._open_calls[name] = self._open_calls.get(name, 0) + 1
 
     def call_ended(self, name: str, ok: bool, now_ms: int) -> None:
-        """Counts the end of a call."""
-        self._own[name] = self._own.get(name, 0) - 1
+        """Counts the end of a call and its result."""
+        self._open_calls[name] = self._open_calls.get(name, 0) - 1
         if ok:
             self._breaker(name).succeeded()
         else:
