--- a/sesamecross/ops/assignment.py
+++ b/sesamecross/ops/assignment.py
@@ -1,9 +1,10 @@
-"""Where models belong by declaration alone.
+"""Assigns model replicas to engines from the declarations alone.
 
-Why: each zone's lease holder plans by itself, and at a cold start each hears
-of engines in another order. If a model that is resident nowhere went to
-whichever engine looks roomiest, two holders would load it twice or neither
-would. A pure function of the declarations comes out alike for all.
+Each zone's lease holder plans on its own, and after a cold start they hear of
+engines in different orders. If a model that is resident nowhere went to the
+engine with the most free memory at that moment, two holders could both load
+it, or neither. A pure function of the declarations gives all holders the same
+assignment.
 """
 
 import functools
@@ -11,14 +12,15 @@
 from sesamecross.core import data
 from sesamecross.utils import rendezvous
 
-Homes = dict[str, tuple[str, ...]]
+Assignment = dict[str, tuple[str, ...]]
 
 
-def homes(declarations: data.Declarations) -> Homes:
-    """Returns the engines on which each model's replicas belong.
+def assigned_engines(declarations: data.Declarations) -> Assignment:
+    """Returns the engines assigned to each model's replicas, by model name.
 
-    The largest model goes first, to the engine with the most room left; all
-    first replicas of models that must stay go before any further replica.
+    Models are placed by size, largest first, each on the engine with the most
+    unassigned memory. The first replicas of all models that must stay are
+    placed before any further replica.
     """
     engines = tuple(
         (engine.name, engine.memory_mib) for engine in declarations.engines()
@@ -27,42 +29,49 @@
         (model.name, model.memory_mib, model.must_stay, model.replicas)
         for model in declarations.models.values()
     )
-    return _homes(engines, models)
+    return _assign(engines, models)
 
 
 @functools.lru_cache(maxsize=4)
-def _homes(
+def _assign(
     engines: tuple[tuple[str, int], ...],
     models: tuple[tuple[str, int, bool, int], ...],
-) -> Homes:
-    free = dict(engines)
+) -> Assignment:
+    free_by_engine = dict(engines)
     placed: dict[str, list[str]] = {name: [] for name, _, _, _ in models}
     by_size = sorted(models, key=lambda model: (-model[1], model[0]))
-    most = max((model[3] for model in models), default=0)
-    for number in range(1, most + 1):
+    max_replicas = max((model[3] for model in models), default=0)
+    for replica_number in range(1, max_replicas + 1):
         for name, size, must_stay, replicas in by_size:
-            if number > replicas or (number > 1 and not placed[name]):
+            if replica_number > replicas or (
+                replica_number > 1 and not placed[name]
+            ):
                 continue
-            if number == 1 and not must_stay:
+            if replica_number == 1 and not must_stay:
                 continue
-            engine = _roomiest(free, size, placed[name], name)
+            engine = _engine_with_most_room(
+                free_by_engine, size, placed[name], name
+            )
             if engine is not None:
-                free[engine] -= size
+                free_by_engine[engine] -= size
                 placed[name].append(engine)
-    return {name: tuple(where) for name, where in placed.items()}
+    return {name: tuple(engine_names) for name, engine_names in placed.items()}
 
 
-def _roomiest(
-    free: dict[str, int], size: int, taken: list[str], name: str
+def _engine_with_most_room(
+    free_by_engine: dict[str, int], size: int, excluded: list[str], name: str
 ) -> str | None:
-    fitting = [
+    engines_with_room = [
         engine
-        for engine, room in free.items()
-        if room >= size and engine not in taken
+        for engine, free_mib in free_by_engine.items()
+        if free_mib >= size and engine not in excluded
     ]
-    if not fitting:
+    if not engines_with_room:
         return None
     return max(
-        fitting,
-        key=lambda engine: (free[engine], rendezvous.weight(name, engine)),
+        engines_with_room,
+        key=lambda engine: (
+            free_by_engine[engine],
+            rendezvous.weight(name, engine),
+        ),
     )
--- a/sesamecross/ops/intents.py
+++ b/sesamecross/ops/intents.py
@@ -1,8 +1,8 @@
-"""Orders to engines that were written down and are not resolved yet.
+"""Orders to engines that were logged but are not resolved yet.
 
-Why: an order can be lost, late, doubled, or sent by a holder that was paused
+An order can be lost, delayed, duplicated, or sent by a holder that was paused
 past its lease. The memory ledger counts each unresolved intent as possibly
-applied, so the true memory of an engine never exceeds what is counted.
+applied, so an engine's true memory use never exceeds what is counted.
 """
 
 import dataclasses
@@ -14,11 +14,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Intent:
-    """An unresolved order and the lease under which it was written.
+    """An unresolved order and the lease under which it was logged.
 
     Attributes:
-      fence: The intent's own place on the log; grows with each order, over
-        all holders, and is what engines that check fencing compare.
+      fence: The fencing token: the intent's own position on the log. It grows
+        with each order, over all holders, and engines that check fencing
+        compare it.
     """
 
     order: data.Order
@@ -29,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True)
 class IntentState:
-    """Unresolved intents by order id, in the order of the log."""
+    """Unresolved intents by order id, in log order."""
 
     unresolved: dict[str, Intent] = dataclasses.field(default_factory=dict)
 
@@ -43,8 +44,8 @@
     """Adds the intent if its writer still holds the zone's lease.
 
     Returns:
-      The intent, which its writer may now send; None for a writer whose
-      lease was superseded before this record: it must not send.
+      The intent, which its writer may now send; None if the writer's lease was
+      superseded before this record, so that it must not send.
     """
     if not leases.is_current(lease_state, record.zone, record.lease):
         return None
@@ -56,7 +57,7 @@
 def resolve(
     state: IntentState, record: records.IntentResolved
 ) -> Intent | None:
-    """Removes the intent; returns it, or None if it was resolved before."""
+    """Removes and returns the intent; None if it was resolved before."""
     return state.unresolved.pop(record.order_id, None)
 
 
--- a/sesamecross/ops/leases.py
+++ b/sesamecross/ops/leases.py
@@ -1,9 +1,10 @@
-"""Who may write intents for a zone: leases with the offset as fencing number.
+"""Zone leases with the log offset as fencing token.
 
-Why: a holder can be paused past its lease and wake up mid-send. Time decides
-only when somebody may challenge; whether a lease counts is decided by order
-on the log, and what an old holder may have sent is known from its intents,
-which all lie before the record that ended its lease.
+A lease allows its holder to write intents for a zone. A holder can be paused
+past its lease and resume in the middle of a send. Time decides only when
+another steward may challenge. Whether a lease is valid is decided by the order
+on the log, and what an old holder may have sent is known from its intents, all
+of which precede the record that ended its lease.
 """
 
 import dataclasses
@@ -14,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lease:
-    """A zone's current lease. `offset` is its fencing number."""
+    """A zone's current lease. `offset` is its fencing token."""
 
     zone: str
     holder: data.Incarnation
@@ -31,12 +32,12 @@
 def take(
     state: LeaseState, fence: int, record: records.LeaseTaken
 ) -> Lease | None:
-    """Gives the lease if the record supersedes the current one.
+    """Grants the lease if the record supersedes the current one.
 
     Args:
       state: Changed in place.
-      fence: The record's place on the log, never 0.
-      record: What the challenger wrote.
+      fence: The record's position on the log, never 0.
+      record: The challenger's record.
 
     Returns:
       The new lease, or None if another challenger was first.
@@ -59,40 +60,45 @@
 
 
 def is_current(state: LeaseState, zone: str, fence: int) -> bool:
-    """Tells whether `fence` numbers the zone's current lease."""
+    """Tells whether `fence` is the token of the zone's current lease."""
     current = state.leases.get(zone)
     return current is not None and current.offset == fence
 
 
 class LeaseExpiryDetector:
-    """Decides when to challenge, from the own monotonic clock only.
+    """Decides by the local monotonic clock when to challenge a lease.
 
-    A wrong guess costs a change of holder and never safety. Each candidate
-    waits for its rank among the zone's members beside the lapse, so that
-    challengers don't all write at once.
+    A premature challenge costs a change of holder and never safety. In
+    addition to the expiry time, each candidate waits in proportion to its rank
+    among the zone's members, so that challengers don't all write at once.
     """
 
-    __slots__ = ("_lapse_ms", "_step_ms", "_seen", "_since_ms")
+    __slots__ = (
+        "_lapse_ms",
+        "_delay_per_rank_ms",
+        "_observed_fence",
+        "_timer_started_ms",
+    )
 
-    def __init__(self, lapse_ms: int, step_ms: int):
+    def __init__(self, lapse_ms: int, delay_per_rank_ms: int):
         self._lapse_ms = lapse_ms
-        self._step_ms = step_ms
-        self._seen: int | None = None
-        self._since_ms = 0
+        self._delay_per_rank_ms = delay_per_rank_ms
+        self._observed_fence: int | None = None
+        self._timer_started_ms = 0
 
     def reset_timer(self, now_ms: int) -> None:
-        """Notes that the holder renewed or changed just now."""
-        self._since_ms = now_ms
+        """Restarts the timer: the holder renewed the lease or changed."""
+        self._timer_started_ms = now_ms
 
     def may_challenge(
         self, now_ms: int, current: Lease | None, rank: int
     ) -> bool:
         """Tells whether the lease should be challenged now."""
         fence = current.offset if current else 0
-        if fence != self._seen:
-            self._seen = fence
-            self._since_ms = now_ms
-        wait_ms = rank * self._step_ms
+        if fence != self._observed_fence:
+            self._observed_fence = fence
+            self._timer_started_ms = now_ms
+        wait_ms = rank * self._delay_per_rank_ms
         if current is not None:
             wait_ms += self._lapse_ms
-        return now_ms - self._since_ms >= wait_ms
+        return now_ms - self._timer_started_ms >= wait_ms
--- a/sesamecross/ops/leases_test.py
+++ b/sesamecross/ops/leases_test.py
@@ -1,4 +1,4 @@
-"""Tests of leases: order on the log decides, never a clock."""
+"""Tests of leases: the order on the log decides, never a clock."""
 
 import pytest
 
@@ -23,9 +23,9 @@
 
 
 def test_intent_of_a_superseded_holder_does_not_count():
-    # P4: a holder is paused past its lease and wakes in the middle of
-    # writing an order down. The successor's record lies before it on the
-    # log, so the intent does not count and is never sent.
+    # P4: a holder is paused past its lease and resumes while it writes an
+    # intent. The successor's record precedes the intent on the log, so the
+    # intent is invalid and its order is never sent.
     lease_state = leases.LeaseState()
     intent_state = intents.IntentState()
     leases.take(lease_state, 5, taken(A, 0))
@@ -59,13 +59,13 @@
 
 @pytest.mark.parametrize(("silent_ms", "rank", "may"), CHALLENGES)
 def test_challengers_wait_for_the_lapse_and_their_rank(silent_ms, rank, may):
-    watch = leases.LeaseExpiryDetector(8000, 500)
+    detector = leases.LeaseExpiryDetector(8000, 500)
     lease = leases.Lease("z", A, 5)
-    watch.may_challenge(0, lease, rank)
-    watch.reset_timer(1000)
-    assert watch.may_challenge(1000 + silent_ms, lease, rank) is may
+    detector.may_challenge(0, lease, rank)
+    detector.reset_timer(1000)
+    assert detector.may_challenge(1000 + silent_ms, lease, rank) is may
 
 
 def test_a_free_lease_is_taken_without_waiting_for_a_lapse():
-    watch = leases.LeaseExpiryDetector(8000, 500)
-    assert watch.may_challenge(100, None, 0)
+    detector = leases.LeaseExpiryDetector(8000, 500)
+    assert detector.may_challenge(100, None, 0)
--- a/sesamecross/ops/ledger_test.py
+++ b/sesamecross/ops/ledger_test.py
@@ -1,4 +1,4 @@
-"""Tests of the memory ledger: what may be in use is never counted low."""
+"""Tests of the memory ledger: possible memory use is never undercounted."""
 
 import pytest
 
@@ -23,7 +23,7 @@
 
 
 CASES = [
-    # story, report, unresolved, counted, held, firm
+    # description, report, unresolved, counted, held, stable
     ("nothing under way", report(["m1"], 400), [], 400, {"m1"}, {"m1"}),
     ("P1 a load may have been lost or not", report([], 0),
      [intent(LOAD, "m1", 400)], 400, {"m1"}, set()),
@@ -43,18 +43,21 @@
 
 
 @pytest.mark.parametrize(
-    ("story", "said", "unresolved", "counted", "held", "firm"), CASES
+    ("description", "reported", "unresolved", "counted", "held", "stable"),
+    CASES,
 )
-def test_account(story, said, unresolved, counted, held, firm):
-    account = ledger.account(1000, said, unresolved, SIZES)
-    assert account.counted_mib == counted, story
+def test_account(description, reported, unresolved, counted, held, stable):
+    account = ledger.account(1000, reported, unresolved, SIZES)
+    assert account.counted_mib == counted, description
     assert account.held == held
-    assert account.firm == firm
+    assert account.stable == stable
 
 
 @pytest.mark.parametrize(
-    ("declared", "said", "capacity"), [(1000, 800, 800), (700, 800, 700)]
+    ("declared", "reported", "capacity"), [(1000, 800, 800), (700, 800, 700)]
 )
-def test_the_smaller_capacity_counts(declared, said, capacity):
-    account = ledger.account(declared, report([], 0, capacity=said), [], SIZES)
+def test_the_smaller_capacity_counts(declared, reported, capacity):
+    account = ledger.account(
+        declared, report([], 0, capacity=reported), [], SIZES
+    )
     assert account.capacity_mib == capacity
--- a/sesamecross/ops/order_outcomes.py
+++ b/sesamecross/ops/order_outcomes.py
@@ -1,7 +1,7 @@
-"""What an engine's status proves about an order that was written down.
+"""Derives the outcome of a logged order from an engine's status.
 
-Why: an order's answer can be lost, so only the engine's own later word
-settles it, and the absence of a word settles nothing by itself.
+The answer to an order can be lost, so only a later status of the engine itself
+settles it. That the status does not mention the order proves nothing alone.
 """
 
 from sesamecross.core import records
@@ -16,11 +16,11 @@
     status: engine_http.EngineStatus,
     checks_fencing: bool,
 ) -> records.IntentOutcome | None:
-    """Returns what became of the order, or None while that is open.
+    """Returns the outcome of the order, or None while it is undecided.
 
-    An order that the engine does not know was lost or is late. Only an
-    engine that checks fencing and has seen a higher number will refuse it
-    when it comes; from any other engine it stays possible.
+    An order that the engine does not know was lost or is still in transit.
+    Only an engine that checks fencing tokens and has seen a higher one will
+    refuse it on arrival; at any other engine it may still be applied.
     """
     if status.report.epoch != intent.order.epoch:
         return _Outcome.VOID
--- a/sesamecross/ops/placement.py
+++ b/sesamecross/ops/placement.py
@@ -1,14 +1,15 @@
-"""Which models and adapters go where: a pure plan of moves with reasons.
-
-Why: the plan must be the same for the same inputs, so that an operator can
-ask what would be done and why, and tests can compare it with a naive one.
-Hard rules first: room by the ledger, and no unload of the last replica of a
-model that must stay. Then replicas and adapters into the room that is left.
-
-Each zone's lease holder plans for the engines of its own zone. What a model
-that must stay is assigned to is worked out over all zones, from residency
-that every holder hears of, so that holders agree without talking; where they
-don't, the cost is one replica too many and never a wrong order.
+"""Plans which models and adapters each engine should hold.
+
+The plan is a pure function: the same inputs give the same moves with the same
+reasons, so that an operator can ask what would be done and why, and tests can
+compare it with a naive one. Hard rules come first: capacity by the ledger, and
+no unload of the last replica of a model that must stay. Further replicas and
+adapters go into the memory that is left.
+
+Each zone's lease holder plans for the engines of its own zone. The assignment
+of models that must stay is computed over all zones, from residency that every
+holder hears of, so that holders agree without communicating. Where they
+disagree, the cost is one replica too many and never a wrong order.
 """
 
 from collections.abc import Mapping
@@ -22,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Move:
-    """One order that the plan asks for, and why."""
+    """An order that the plan asks for, and its reason."""
 
     upstream: str
     action: data.OrderAction
@@ -34,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shortfall:
-    """Something declared that can't be satisfied now."""
+    """A declared requirement that can't be met now."""
 
     name: str
     reason: str
@@ -51,12 +52,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Inputs:
-    """All that a plan is made from.
+    """Everything that a plan depends on.
 
     Attributes:
       zone: The zone whose engines may get moves.
       accounts: The ledger's account of each usable engine, of all zones.
-      demand: Calls a second by model or adapter.
+      demand: Calls per second by model or adapter.
     """
 
     declarations: data.Declarations
@@ -65,14 +66,14 @@
     demand: Mapping[str, float]
 
 
-class _Draft:
-    """Room and holdings while a plan is made up."""
+class _PlanBuilder:
+    """Free memory and contents of the engines while a plan is built."""
 
-    __slots__ = ("inputs", "free", "held", "moves", "shortfalls")
+    __slots__ = ("inputs", "remaining_mib", "held", "moves", "shortfalls")
 
     def __init__(self, inputs: Inputs):
         self.inputs = inputs
-        self.free = {n: a.free_mib for n, a in inputs.accounts.items()}
+        self.remaining_mib = {n: a.free_mib for n, a in inputs.accounts.items()}
         self.held = {n: set(a.held) for n, a in inputs.accounts.items()}
         self.moves: list[Move] = []
         self.shortfalls: list[Shortfall] = []
@@ -88,8 +89,8 @@
         record: data.Model | data.Adapter,
         reason: str,
     ) -> None:
-        """Adds a load; only the own zone's become moves."""
-        self.free[upstream] -= record.memory_mib
+        """Adds a load; it becomes a move only for engines of the own zone."""
+        self.remaining_mib[upstream] -= record.memory_mib
         self.held[upstream].add(record.name)
         declared = self.inputs.declarations.upstreams[upstream]
         if declared.zone == self.inputs.zone:
@@ -105,7 +106,7 @@
             )
 
     def unload(self, upstream: str, name: str, size: int, why: str) -> None:
-        """Adds an unload. Its room counts only once it is confirmed."""
+        """Adds an unload. Its memory is free only once it is confirmed."""
         self.held[upstream].discard(name)
         adapters = self.inputs.declarations.adapters
         action = data.OrderAction.UNLOAD_MODEL
@@ -117,58 +118,60 @@
 
 
 def plan(inputs: Inputs) -> Plan:
-    """Returns the moves that the declarations ask for now."""
-    draft = _Draft(inputs)
-    _remove_undeclared(draft)
-    _keep_reachable(draft)
-    _add_replicas(draft)
-    _add_adapters(draft)
-    return Plan(tuple(draft.moves), tuple(draft.shortfalls))
-
-
-def _remove_undeclared(draft: _Draft) -> None:
-    declarations = draft.inputs.declarations
-    for upstream in sorted(draft.held):
-        for name in sorted(draft.held[upstream]):
+    """Returns the moves that the declarations require now."""
+    builder = _PlanBuilder(inputs)
+    _remove_undeclared(builder)
+    _load_missing_models(builder)
+    _add_replicas(builder)
+    _add_adapters(builder)
+    return Plan(tuple(builder.moves), tuple(builder.shortfalls))
+
+
+def _remove_undeclared(builder: _PlanBuilder) -> None:
+    declarations = builder.inputs.declarations
+    for upstream in sorted(builder.held):
+        for name in sorted(builder.held[upstream]):
             if name in declarations.models or name in declarations.adapters:
                 continue
-            draft.unload(upstream, name, 0, "is no longer declared")
+            builder.unload(upstream, name, 0, "is no longer declared")
 
 
 def _by_size(models: list[data.Model]) -> list[data.Model]:
     return sorted(models, key=lambda model: (-model.memory_mib, model.name))
 
 
-def _keep_reachable(draft: _Draft) -> None:
+def _load_missing_models(builder: _PlanBuilder) -> None:
     """Gives each model that must stay its first replica, largest first.
 
-    Models that can go where they belong go first, so that one whose engine
-    is away does not push others out of theirs.
+    Models that fit on their assigned engine go first, so that a model whose
+    engine is unavailable does not displace others from theirs.
     """
-    models = draft.inputs.declarations.models.values()
+    models = builder.inputs.declarations.models.values()
     missing = [
         model
         for model in _by_size([m for m in models if m.must_stay])
-        if not draft.holders(model.name)
+        if not builder.holders(model.name)
     ]
-    homes = assignment.homes(draft.inputs.declarations)
+    assigned_engines = assignment.assigned_engines(builder.inputs.declarations)
     displaced = []
     for model in missing:
-        home = next(iter(homes[model.name]), None)
-        if draft.free.get(home, -1) >= model.memory_mib:
-            _load_first(draft, model, home)
+        assigned_engine = next(iter(assigned_engines[model.name]), None)
+        if builder.remaining_mib.get(assigned_engine, -1) >= model.memory_mib:
+            _load_first_replica(builder, model, assigned_engine)
         else:
             displaced.append(model)
     for model in displaced:
-        upstream = _place_for(draft, model)
+        upstream = _choose_engine(builder, model)
         if upstream is not None:
-            _load_first(draft, model, upstream)
+            _load_first_replica(builder, model, upstream)
         else:
-            _make_room(draft, model)
+            _evict_for(builder, model)
 
 
-def _load_first(draft: _Draft, model: data.Model, upstream: str) -> None:
-    draft.load(
+def _load_first_replica(
+    builder: _PlanBuilder, model: data.Model, upstream: str
+) -> None:
+    builder.load(
         upstream,
         data.OrderAction.LOAD_MODEL,
         model,
@@ -176,46 +179,48 @@
     )
 
 
-def _place_for(
-    draft: _Draft, model: data.Model, without: frozenset[str] = frozenset()
+def _choose_engine(
+    builder: _PlanBuilder,
+    model: data.Model,
+    excluded: frozenset[str] = frozenset(),
 ) -> str | None:
-    """Returns where a replica goes: where it belongs, or where is room."""
-    fitting = [
+    """Returns an assigned engine with room, else the one with the most room."""
+    engines_with_room = [
         name
-        for name, free in draft.free.items()
-        if free >= model.memory_mib and name not in without
+        for name, remaining_mib in builder.remaining_mib.items()
+        if remaining_mib >= model.memory_mib and name not in excluded
     ]
-    if not fitting:
+    if not engines_with_room:
         return None
-    homes = assignment.homes(draft.inputs.declarations)
-    for home in homes.get(model.name, ()):
-        if home in fitting:
-            return home
+    assigned_engines = assignment.assigned_engines(builder.inputs.declarations)
+    for assigned_engine in assigned_engines.get(model.name, ()):
+        if assigned_engine in engines_with_room:
+            return assigned_engine
     return max(
-        fitting,
+        engines_with_room,
         key=lambda name: (
-            draft.free[name],
+            builder.remaining_mib[name],
             rendezvous.weight(model.name, name),
         ),
     )
 
 
-def _make_room(draft: _Draft, model: data.Model) -> None:
-    """Asks for unloads where they make room for a model that must stay.
+def _evict_for(builder: _PlanBuilder, model: data.Model) -> None:
+    """Adds the unloads that make room for a model that must stay.
 
-    Adapters and replicas beyond the first are given up, the least asked for
-    first. The load itself follows in a later plan, once the engine has
+    Adapters and replicas beyond the first are evicted, those with the least
+    demand first. The load itself follows in a later plan, once the engine has
     confirmed the unloads: memory is never promised twice.
     """
     best: tuple[int, str, list[str]] | None = None
-    for upstream in sorted(draft.free):
-        freed, names = _evictable(draft, upstream, model.memory_mib)
-        if draft.free[upstream] + freed < model.memory_mib:
+    for upstream in sorted(builder.remaining_mib):
+        freed, names = _eviction_candidates(builder, upstream, model.memory_mib)
+        if builder.remaining_mib[upstream] + freed < model.memory_mib:
             continue
         if best is None or len(names) < best[0]:
             best = (len(names), upstream, names)
     if best is None:
-        draft.shortfalls.append(
+        builder.shortfalls.append(
             Shortfall(
                 model.name,
                 f"needs {model.memory_mib} MiB and no engine can make room",
@@ -223,140 +228,143 @@
             )
         )
         return
-    sizes = ledger.sizes_of(draft.inputs.declarations)
+    sizes = ledger.sizes_of(builder.inputs.declarations)
     for name in best[2]:
         reason = f"makes room for {model.name}, which must stay"
-        draft.unload(best[1], name, sizes.get(name, 0), reason)
-    # Its room is spoken for: nothing else of this plan may take it.
-    draft.free[best[1]] = 0
+        builder.unload(best[1], name, sizes.get(name, 0), reason)
+    # The freed memory is reserved: nothing else in this plan may use it.
+    builder.remaining_mib[best[1]] = 0
 
 
-def _evictable(
-    draft: _Draft, upstream: str, needed: int
+def _eviction_candidates(
+    builder: _PlanBuilder, upstream: str, needed: int
 ) -> tuple[int, list[str]]:
-    declarations = draft.inputs.declarations
+    declarations = builder.inputs.declarations
     sizes = ledger.sizes_of(declarations)
-    firm = draft.inputs.accounts[upstream].firm & draft.held[upstream]
+    stable = builder.inputs.accounts[upstream].stable & builder.held[upstream]
     candidates = [
-        name for name in firm if _may_leave(draft, upstream, name, sizes)
+        name for name in stable if _may_unload(builder, upstream, name, sizes)
     ]
-    demand = draft.inputs.demand
+    demand = builder.inputs.demand
     candidates.sort(key=lambda name: (demand.get(name, 0.0), name))
     chosen: list[str] = []
     freed = 0
     for name in candidates:
-        if draft.free[upstream] + freed >= needed:
+        if builder.remaining_mib[upstream] + freed >= needed:
             break
         chosen.append(name)
         freed += sizes.get(name, 0)
     return freed, chosen
 
 
-def _may_leave(
-    draft: _Draft, upstream: str, name: str, sizes: Mapping[str, int]
+def _may_unload(
+    builder: _PlanBuilder, upstream: str, name: str, sizes: Mapping[str, int]
 ) -> bool:
-    if name in draft.inputs.declarations.adapters:
+    if name in builder.inputs.declarations.adapters:
         return True
-    model = draft.inputs.declarations.models.get(name)
+    model = builder.inputs.declarations.models.get(name)
     if model is None or name not in sizes:
         return False
     if not model.must_stay:
         return True
-    # Another replica must be firm: resident and with no order under way
-    # that could remove it.
+    # Another replica must be stable: resident, with no order under way that
+    # could remove it.
     return any(
-        other != upstream and name in account.firm and name in draft.held[other]
-        for other, account in draft.inputs.accounts.items()
+        other != upstream
+        and name in account.stable
+        and name in builder.held[other]
+        for other, account in builder.inputs.accounts.items()
     )
 
 
-def _add_replicas(draft: _Draft) -> None:
-    models = draft.inputs.declarations.models.values()
-    demand = draft.inputs.demand
+def _add_replicas(builder: _PlanBuilder) -> None:
+    models = builder.inputs.declarations.models.values()
+    demand = builder.inputs.demand
     by_demand = sorted(
         models, key=lambda model: (-demand.get(model.name, 0.0), model.name)
     )
     for model in by_demand:
-        wanted = model.replicas
+        wanted_replicas = model.replicas
         if not model.must_stay and not demand.get(model.name):
-            wanted = 0
-        holders = draft.holders(model.name)
-        for _ in range(wanted - len(holders)):
-            upstream = _place_for(draft, model, frozenset(holders))
+            wanted_replicas = 0
+        holders = builder.holders(model.name)
+        for _ in range(wanted_replicas - len(holders)):
+            upstream = _choose_engine(builder, model, frozenset(holders))
             if upstream is None:
-                _clear_surplus(draft, model, frozenset(holders))
+                _unload_surplus(builder, model, frozenset(holders))
                 break
             holders.append(upstream)
-            draft.load(
+            builder.load(
                 upstream,
                 data.OrderAction.LOAD_MODEL,
                 model,
-                f"replica {len(holders)} of {wanted} declared",
+                f"replica {len(holders)} of {wanted_replicas} declared",
             )
 
 
-def _clear_surplus(
-    draft: _Draft, model: data.Model, without: frozenset[str]
+def _unload_surplus(
+    builder: _PlanBuilder, model: data.Model, excluded: frozenset[str]
 ) -> None:
-    """Asks for unloads of what nobody declared, to make room for a replica.
+    """Unloads surplus replicas and adapters to make room for a replica.
 
-    Replicas beyond the wanted number come about when holders of two zones
-    load the same model at once. Adapters give way too: a replica answers
-    calls that nothing else can, an adapter beside another replica may.
+    Replicas beyond the declared number arise when holders of two zones load
+    the same model at once. Adapters give way too: a replica answers calls that
+    nothing else can, while calls to an adapter may be answered beside another
+    replica.
     """
-    sizes = ledger.sizes_of(draft.inputs.declarations)
-    for upstream in sorted(draft.free):
-        if upstream in without:
+    sizes = ledger.sizes_of(builder.inputs.declarations)
+    for upstream in sorted(builder.remaining_mib):
+        if upstream in excluded:
             continue
         surplus = [
             name
-            for name in sorted(draft.held[upstream])
-            if _is_surplus(draft, upstream, name)
+            for name in sorted(builder.held[upstream])
+            if _is_surplus(builder, upstream, name)
         ]
         freed = sum(sizes.get(name, 0) for name in surplus)
-        if draft.free[upstream] + freed < model.memory_mib:
+        if builder.remaining_mib[upstream] + freed < model.memory_mib:
             continue
         for name in surplus:
-            if draft.free[upstream] >= model.memory_mib:
+            if builder.remaining_mib[upstream] >= model.memory_mib:
                 break
             size = sizes.get(name, 0)
             reason = f"makes room for a declared replica of {model.name}"
-            draft.unload(upstream, name, size, reason)
-        draft.free[upstream] = 0
+            builder.unload(upstream, name, size, reason)
+        builder.remaining_mib[upstream] = 0
         return
 
 
-def _is_surplus(draft: _Draft, upstream: str, name: str) -> bool:
-    if name not in draft.inputs.accounts[upstream].firm:
+def _is_surplus(builder: _PlanBuilder, upstream: str, name: str) -> bool:
+    if name not in builder.inputs.accounts[upstream].stable:
         return False
-    declarations = draft.inputs.declarations
+    declarations = builder.inputs.declarations
     if name in declarations.adapters:
         return True
     model = declarations.models.get(name)
-    if model is None or len(draft.holders(name)) <= model.replicas:
+    if model is None or len(builder.holders(name)) <= model.replicas:
         return False
     sizes = ledger.sizes_of(declarations)
-    return _may_leave(draft, upstream, name, sizes)
+    return _may_unload(builder, upstream, name, sizes)
 
 
-def _add_adapters(draft: _Draft) -> None:
-    """Puts adapters beside their models, the most asked for first."""
-    demand = draft.inputs.demand
+def _add_adapters(builder: _PlanBuilder) -> None:
+    """Loads adapters beside their models, those with the most demand first."""
+    demand = builder.inputs.demand
     adapters = sorted(
-        draft.inputs.declarations.adapters.values(),
+        builder.inputs.declarations.adapters.values(),
         key=lambda adapter: (-demand.get(adapter.name, 0.0), adapter.name),
     )
     for adapter in adapters:
-        for upstream in sorted(draft.inputs.accounts):
-            # Only beside a model that is there already: an adapter whose
-            # model is still loading would be refused.
-            if adapter.model not in draft.inputs.accounts[upstream].firm:
+        for upstream in sorted(builder.inputs.accounts):
+            # Only beside a resident model: an adapter whose model is still
+            # loading would be refused.
+            if adapter.model not in builder.inputs.accounts[upstream].stable:
                 continue
-            if adapter.name in draft.held[upstream]:
+            if adapter.name in builder.held[upstream]:
                 continue
-            if draft.free[upstream] < adapter.memory_mib:
+            if builder.remaining_mib[upstream] < adapter.memory_mib:
                 continue
-            draft.load(
+            builder.load(
                 upstream,
                 data.OrderAction.LOAD_ADAPTER,
                 adapter,
--- a/sesamecross/ops/placement_test.py
+++ b/sesamecross/ops/placement_test.py
@@ -1,4 +1,4 @@
-"""Tests of the placement plan: hard rules hold, reasons are given."""
+"""Tests of placement plans: hard rules hold and reasons are given."""
 
 import random
 
@@ -89,31 +89,34 @@
 
 
 def test_two_holders_that_hear_differently_load_nothing_twice():
-    # At a cold start the holders of two zones have heard of different
-    # engines. Each model belongs somewhere by declaration alone, so what
-    # one holder loads the other does not.
+    # After a cold start the holders of two zones have heard of different
+    # engines. The assignment depends on the declarations alone, so what one
+    # holder loads the other does not.
     declared = declarations(
         {f"e{n}": 100 for n in range(4)},
         [(f"m{n}", 40, True, 1) for n in range(8)],
     )
     whole = accounts(declared, {})
-    seen = []
+    plans = []
     for missing in ("e0", "e3"):
         partial = {k: v for k, v in whole.items() if k != missing}
         inputs = placement.Inputs(declared, "z", partial, {})
-        seen.append(
+        plans.append(
             {(m.target, m.upstream) for m in placement.plan(inputs).moves}
         )
-    homes = assignment.homes(declared)
-    for loads in seen:
+    assigned_engines = assignment.assigned_engines(declared)
+    for loads in plans:
         for target, upstream in loads:
-            home = homes[target][0]
-            assert upstream == home or home in ("e0", "e3")
+            assigned_engine = assigned_engines[target][0]
+            assert upstream == assigned_engine or assigned_engine in (
+                "e0",
+                "e3",
+            )
 
 
 def test_surplus_gives_way_to_a_declared_replica():
-    # Two zones once loaded "b" at the same moment. The second copy takes
-    # the room of the replica that "a" is declared to have.
+    # Two zones loaded "b" at the same moment. The second copy takes the room
+    # of the replica that "a" is declared to have.
     declared = declarations(
         {"e1": 100, "e2": 100},
         [("a", 50, True, 2), ("b", 50, True, 1)],
@@ -134,9 +137,9 @@
     )
     found = plan(declared, {"e1": ["a"]})
     assert moves(found) == []
-    (short,) = found.shortfalls
-    assert (short.name, "60 MiB" in short.reason) == ("b", True)
-    assert short.remedy
+    (shortfall,) = found.shortfalls
+    assert (shortfall.name, "60 MiB" in shortfall.reason) == ("b", True)
+    assert shortfall.remedy
 
 
 def test_an_adapter_goes_beside_its_resident_model_only():
@@ -150,7 +153,7 @@
 
 
 def test_what_is_no_longer_declared_is_unloaded():
-    # S5: an operator removes a model; its engine still holds it.
+    # S5: an operator removes a model that its engine still holds.
     declared = declarations({"e1": 100}, [("a", 60, True, 1)])
     found = plan(declared, {"e1": ["a", "gone"]})
     assert moves(found) == [(UNLOAD, "gone", "e1")]
@@ -158,9 +161,9 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_carried_out_step_by_step_no_rule_is_ever_broken(seed):
-    # Random deployments, plans carried out one move at a time with plans
-    # anew in between: no engine over its memory, no model that must stay
-    # without its last replica once it had one, and an end to the moves.
+    # Random deployments; the first move of each plan is carried out, and then
+    # a new plan is made. No engine exceeds its memory, no model that must stay
+    # loses its last replica once it had one, and the moves come to an end.
     rng = random.Random(seed)
     engines = {f"e{i}": rng.choice([80, 100, 120]) for i in range(5)}
     models = [
@@ -191,4 +194,4 @@
         assert reached <= held
         reached |= must & held
     else:
-        pytest.fail("the plan never comes to an end")
+        pytest.fail("the plans do not converge")
