--- a/sesamecross/ops/gossip.py
+++ b/sesamecross/ops/gossip.py
@@ -1,9 +1,9 @@
-"""Versioned items that spread over the overlay's streams.
+"""Versioned items that spread by gossip over the overlay's streams.
 
-Why: upstreams' reports, demand and votes of suspicion must reach whoever
-needs them within a second or two, at a bounded number of bytes. Each item is
-passed on once per stream and version; a newer version replaces an older one
-before it was sent, so a slow stream gets fewer updates and never a queue.
+Upstream reports, demand and suspicion votes must reach every steward that
+needs them within one or two seconds, at a bounded number of bytes. Each
+version is sent at most once per stream. A newer version replaces one that was
+not sent yet, so a slow stream gets fewer updates and never builds up a queue.
 """
 
 from collections.abc import Iterator
@@ -19,13 +19,15 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class Item:
-    """One versioned item.
+    """A versioned item.
 
     Attributes:
       key: Kind and name, such as "report/advice-1".
-      wall_ms: First half of the version's stamp. count: second half.
+      wall_ms: Wall-clock part of the version's timestamp, in ms.
+      count: Counter part of the timestamp.
       value: A record in plain form, or None to withdraw the item.
-      zone: Where it was made. everywhere: whether it leaves that zone.
+      zone: The zone where it was made.
+      everywhere: Whether it is sent to other zones.
     """
 
     key: str
@@ -37,20 +39,20 @@
 
     @property
     def version(self) -> hlc.Timestamp:
-        """The stamp that orders this item's versions."""
+        """The timestamp that orders this item's versions."""
         return hlc.Timestamp(self.wall_ms, self.count)
 
 
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class Items:
-    """Items on a stream between stewards."""
+    """A message of items between stewards."""
 
     items: tuple[Item, ...]
 
 
 class PeerVersions:
-    """What one stream's other side is known to have."""
+    """The item versions that the peer of one stream is known to have."""
 
     __slots__ = ("peer", "zone", "_known")
 
@@ -60,13 +62,13 @@
         self._known: dict[str, hlc.Timestamp] = {}
 
     def mark_known(self, item: Item) -> None:
-        """The other side has this item."""
+        """Records that the peer has this version."""
         known = self._known.get(item.key)
         if known is None or known < item.version:
             self._known[item.key] = item.version
 
     def lacks(self, item: Item) -> bool:
-        """Tells whether the other side may need this item."""
+        """Tells whether the peer may need this version."""
         known = self._known.get(item.key)
         return known is None or known < item.version
 
@@ -74,27 +76,27 @@
 class ItemStore:
     """The newest version of each item that this steward knows."""
 
-    __slots__ = ("_zone", "_items", "_changed")
+    __slots__ = ("_zone", "_items", "_change_count")
 
     def __init__(self, zone: str):
         self._zone = zone
-        # In the order of change, so that a link finds news at the end.
+        # In the order of change, so that new versions are found at the end.
         self._items: dict[str, Item] = {}
-        self._changed = 0
+        self._change_count = 0
 
     @property
     def change_count(self) -> int:
-        """Counts the items taken in; grows with each."""
-        return self._changed
+        """Number of versions stored so far; it only grows."""
+        return self._change_count
 
     def put(self, item: Item) -> bool:
-        """Takes an item in; tells whether it was news."""
+        """Stores an item; tells whether it was newer than the known version."""
         known = self._items.get(item.key)
         if known is not None and known.version >= item.version:
             return False
         self._items.pop(item.key, None)
         self._items[item.key] = item
-        self._changed += 1
+        self._change_count += 1
         while len(self._items) > MAX_ITEMS:
             self._items.pop(next(iter(self._items)))
         return True
@@ -105,26 +107,26 @@
         return item.value if item else None
 
     def with_prefix(self, prefix: str) -> Iterator[Item]:
-        """Yields items whose key begins with `prefix`."""
+        """Yields items whose key starts with `prefix`."""
         for key, item in self._items.items():
             if key.startswith(prefix):
                 yield item
 
     def delta_for(self, link: PeerVersions, limit: int) -> list[Item]:
-        """Returns items that the link lacks, newest first, and marks them.
+        """Returns items that the peer lacks, newest first; marks them known.
 
         Args:
-          link: The stream's other side.
+          link: The stream's peer.
           limit: How many items one message may carry.
         """
-        news = []
+        delta = []
         for item in reversed(self._items.values()):
-            crosses = link.zone != self._zone
-            if crosses and not item.everywhere:
+            crosses_zones = link.zone != self._zone
+            if crosses_zones and not item.everywhere:
                 continue
             if link.lacks(item):
                 link.mark_known(item)
-                news.append(item)
-                if len(news) >= limit:
+                delta.append(item)
+                if len(delta) >= limit:
                     break
-        return news
+        return delta
--- a/sesamecross/ops/gossip_test.py
+++ b/sesamecross/ops/gossip_test.py
@@ -1,4 +1,4 @@
-"""Tests of gossip: newest wins, everything arrives, nothing is repeated."""
+"""Tests of gossip: the newest version wins, arrives, and is sent once."""
 
 import random
 
@@ -23,12 +23,12 @@
 
 def test_an_item_is_sent_once_to_each_link():
     store = gossip.ItemStore("z")
-    link = gossip.PeerVersions("b", "z")
+    peer = gossip.PeerVersions("b", "z")
     store.put(item("k", 1, 1))
-    assert [i.key for i in store.delta_for(link, 10)] == ["k"]
-    assert store.delta_for(link, 10) == []
+    assert [i.key for i in store.delta_for(peer, 10)] == ["k"]
+    assert store.delta_for(peer, 10) == []
     store.put(item("k", 2, 2))
-    assert [i.value for i in store.delta_for(link, 10)] == [2]
+    assert [i.value for i in store.delta_for(peer, 10)] == [2]
 
 
 def test_what_stays_in_a_zone_does_not_cross():
@@ -43,22 +43,22 @@
 def test_all_stores_agree_after_random_exchanges(seed):
     rng = random.Random(seed)
     stores = [gossip.ItemStore("z") for _ in range(6)]
-    links = {
+    peers = {
         (a, b): gossip.PeerVersions(str(b), "z")
         for a in range(6)
         for b in ((a + 1) % 6, (a + 2) % 6)
     }
     for step in range(200):
-        where = rng.randrange(6)
+        index = rng.randrange(6)
         key = f"k{rng.randrange(10)}"
-        stores[where].put(item(key, step, step))
-        a, b = rng.choice(list(links))
-        for one in stores[a].delta_for(links[a, b], 3):
-            stores[b].put(one)
+        stores[index].put(item(key, step, step))
+        a, b = rng.choice(list(peers))
+        for sent in stores[a].delta_for(peers[a, b], 3):
+            stores[b].put(sent)
     for _ in range(12):
-        for (a, b), link in links.items():
-            for one in stores[a].delta_for(link, 100):
-                stores[b].put(one)
+        for (a, b), peer in peers.items():
+            for sent in stores[a].delta_for(peer, 100):
+                stores[b].put(sent)
     views = [
         {i.key: i.value for i in store.with_prefix("k")} for store in stores
     ]
--- a/sesamecross/ops/overlay.py
+++ b/sesamecross/ops/overlay.py
@@ -1,12 +1,12 @@
-"""Which peers a steward keeps streams to.
+"""The overlay: to which peers a steward opens streams.
 
-Why: with 273 stewards in a zone nobody can talk to everybody. Each member is
-watched by a few others that all pick alike by rendezvous hashing; the same
-streams carry gossip. A few delegates of each zone keep streams to delegates
-of the other zones.
+With 273 stewards in a zone a full mesh is impossible. A few others watch each
+member, chosen alike by all through rendezvous hashing; the same streams carry
+gossip. A few delegates of each zone keep streams to delegates of the other
+zones.
 
-Each steward opens streams to its own watchers, so a member's streams number
-about twice the count of watchers, whatever the zone's size.
+Each steward opens streams to its own watchers, so a member has about twice as
+many streams as watchers, whatever the zone's size.
 """
 
 from collections.abc import Mapping
@@ -21,13 +21,13 @@
 def watchers(
     instance: str, zone_members: list[str], count: int = WATCHERS
 ) -> list[str]:
-    """Returns who watches `instance` among its zone's members."""
+    """Returns the watchers of `instance` among its zone's members."""
     others = [name for name in zone_members if name != instance]
     return rendezvous.top(f"watch/{instance}", others, count)
 
 
 def delegates(zone: str, zone_members: list[str]) -> list[str]:
-    """Returns who speaks for a zone to the others."""
+    """Returns the members that connect a zone to the other zones."""
     return rendezvous.top(f"delegate/{zone}", zone_members, DELEGATES)
 
 
@@ -37,8 +37,8 @@
     """Returns the peers to which `instance` opens streams.
 
     Args:
-      instance: The steward's own name.
-      members: All members believed alive, the own one included.
+      instance: This steward's own name.
+      members: All members believed alive, including this steward.
     """
     own = members[instance]
     by_zone: dict[str, list[str]] = {}
@@ -47,8 +47,8 @@
     chosen = set(watchers(instance, by_zone[own.zone]))
     if instance in delegates(own.zone, by_zone[own.zone]):
         for zone, names in by_zone.items():
-            # The zone of the smaller name opens, so that a pair of
-            # delegates does not hold two streams.
+            # The zone with the smaller name opens the stream, so that two
+            # delegates don't hold two streams.
             if zone > own.zone:
                 chosen.update(delegates(zone, names))
     return {name: members[name] for name in sorted(chosen)}
--- a/sesamecross/ops/timeline.py
+++ b/sesamecross/ops/timeline.py
@@ -1,8 +1,8 @@
-"""The time line: a bounded ring of typed events in each process.
+"""The timeline: a bounded ring buffer of typed events in each process.
 
-Why: whoever is on call must see what the system did over all processes, in
-the order of cause and effect though clocks differ. Stamps come from a hybrid
-logical clock that every message between processes carries on.
+An operator must see what the system did over all processes, in causal order
+even though clocks differ. Timestamps come from a hybrid logical clock that
+every message between processes advances.
 """
 
 from collections import deque
@@ -15,11 +15,11 @@
 from sesamecross.core import codec
 from sesamecross.core import hlc
 
-RING_EVENTS = 4096
+RING_CAPACITY = 4096
 
 
 class EventKind(enum.Enum):
-    """What happened."""
+    """The kind of an event."""
 
     PROCESS = "process"
     CONFIG = "config"
@@ -40,10 +40,11 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class TimelineEvent:
-    """One event. Fields that don't apply are empty.
+    """An event. Fields that don't apply are empty.
 
     Attributes:
-      wall_ms: First half of the stamp. count: second half.
+      wall_ms: Wall-clock part of the timestamp, in ms.
+      count: Counter part of the timestamp.
       what: A short sentence.
     """
 
@@ -57,13 +58,13 @@
     model: str = ""
     upstream: str = ""
 
-    def order(self) -> tuple:
-        """Returns the key by which events of all processes are sorted."""
+    def sort_key(self) -> tuple:
+        """Returns the key that orders events of all processes."""
         return (self.wall_ms, self.count, self.process)
 
 
 class Recorder:
-    """A process's ring and hybrid clock. Safe for threads."""
+    """A process's event ring and hybrid logical clock. Thread-safe."""
 
     __slots__ = ("process", "zone", "_clock", "_ring", "_lock")
 
@@ -72,7 +73,7 @@
         process: str,
         zone: str,
         clock: clock_lib.Clock,
-        size: int = RING_EVENTS,
+        size: int = RING_CAPACITY,
     ):
         self.process = process
         self.zone = zone
@@ -88,7 +89,7 @@
         model: str = "",
         upstream: str = "",
     ) -> None:
-        """Adds an event; the oldest goes when the ring is full."""
+        """Adds an event; when the ring is full, the oldest is dropped."""
         with self._lock:
             stamp = self._clock.now()
             event = TimelineEvent(
@@ -105,12 +106,12 @@
             self._ring.append(event)
 
     def now(self) -> hlc.Timestamp:
-        """Returns a stamp for a message that leaves this process."""
+        """Returns a timestamp for an outgoing message."""
         with self._lock:
             return self._clock.now()
 
     def receive(self, stamp: hlc.Timestamp) -> None:
-        """Takes in the stamp of a message that arrived."""
+        """Advances the clock by an incoming message's timestamp."""
         with self._lock:
             self._clock.receive(stamp)
 
@@ -125,7 +126,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Filter:
-    """Which events to show; an empty field admits all."""
+    """Selects events; an empty field matches all."""
 
     call_id: str = ""
     model: str = ""
@@ -135,7 +136,7 @@
     since_ms: int = 0
 
     def admits(self, event: TimelineEvent) -> bool:
-        """Tells whether the event passes."""
+        """Tells whether the event matches."""
         wanted = (
             (self.call_id, event.call_id),
             (self.model, event.model),
@@ -149,19 +150,21 @@
 
 
 def merge(
-    rings: Iterable[Iterable[TimelineEvent]], chosen: Filter
+    rings: Iterable[Iterable[TimelineEvent]], selection: Filter
 ) -> list[TimelineEvent]:
-    """Returns the admitted events of all rings in order, each once."""
-    seen = {event for ring in rings for event in ring if chosen.admits(event)}
-    return sorted(seen, key=TimelineEvent.order)
+    """Returns the matching events of all rings in order, each once."""
+    seen = {
+        event for ring in rings for event in ring if selection.admits(event)
+    }
+    return sorted(seen, key=TimelineEvent.sort_key)
 
 
 def to_plain(event: TimelineEvent) -> list:
-    """Returns the event as messages carry it."""
+    """Returns the event in the plain form that messages carry."""
     return codec.to_plain(event)
 
 
 def from_plain(plain: object) -> TimelineEvent | None:
-    """Returns the event in a message, or None where it is none."""
+    """Returns the event in a message, or None if it holds none."""
     record = codec.from_plain(plain).value_or(None)
     return record if isinstance(record, TimelineEvent) else None
