--- a/sesamecross/ops/assignment.py
+++ b/sesamecross/ops/assignment.py
@@ -42,7 +42,7 @@
     by_size = sorted(models, key=lambda model: (-model[1], model[0]))
     max_replicas = max((model[3] for model in models), default=0)
     for replica_number in range(1, max_replicas + 1):
-        for name, size, must_stay, replicas in by_size:
+        for name, size_mib, must_stay, replicas in by_size:
             if replica_number > replicas or (
                 replica_number > 1 and not placed[name]
             ):
@@ -50,21 +50,24 @@
             if replica_number == 1 and not must_stay:
                 continue
             engine = _engine_with_most_room(
-                free_by_engine, size, placed[name], name
+                free_by_engine, size_mib, placed[name], name
             )
             if engine is not None:
-                free_by_engine[engine] -= size
+                free_by_engine[engine] -= size_mib
                 placed[name].append(engine)
     return {name: tuple(engine_names) for name, engine_names in placed.items()}
 
 
 def _engine_with_most_room(
-    free_by_engine: dict[str, int], size: int, excluded: list[str], name: str
+    free_by_engine: dict[str, int],
+    size_mib: int,
+    excluded: list[str],
+    name: str,
 ) -> str | None:
     engines_with_room = [
         engine
         for engine, free_mib in free_by_engine.items()
-        if free_mib >= size and engine not in excluded
+        if free_mib >= size_mib and engine not in excluded
     ]
     if not engines_with_room:
         return None
--- a/sesamecross/ops/claim_group.py
+++ b/sesamecross/ops/claim_group.py
@@ -102,9 +102,9 @@
     """A claim that this leader is deciding."""
 
     claim: records.ClaimMade
-    began_ms: int
-    asked_ms: int
-    logged: bool = False
+    started_ms: int
+    last_asked_ms: int
+    is_logged: bool = False
     witnesses_asked: bool = False
     isolated_acks: set[data.Incarnation] = dataclasses.field(
         default_factory=set
@@ -117,8 +117,8 @@
     """Progress of this member towards being active in an epoch."""
 
     epoch: int
-    began_ms: int
-    asked_ms: int
+    started_ms: int
+    last_asked_ms: int
     replies: dict[data.Incarnation, gm.GroupFenced] = dataclasses.field(
         default_factory=dict
     )
@@ -274,7 +274,7 @@
         pending = self._pending.get(record.claim_id)
         won = verdict is not None and verdict.state is data.ClaimState.WON
         if pending is not None and won:
-            pending.logged = True
+            pending.is_logged = True
         return self._advance(now_ms)
 
     def on_settled_record(self, record: records.ClaimSettled) -> None:
@@ -377,9 +377,9 @@
     def _send_asks(self, pending: _PendingClaim, now_ms: int) -> list[Action]:
         """Asks the members, and the witnesses if the log is down or slow."""
         config = self.config
-        pending.asked_ms = now_ms
+        pending.last_asked_ms = now_ms
         recipients = list(config.members)
-        waited_ms = now_ms - pending.began_ms
+        waited_ms = now_ms - pending.started_ms
         if not self._is_log_reachable or waited_ms >= WITNESS_DELAY_MS:
             pending.witnesses_asked = True
             recipients += config.witnesses
@@ -482,7 +482,7 @@
         }
         if not others <= pending.acks:
             return []
-        is_kept_outside_zone = pending.logged or any(
+        is_kept_outside_zone = pending.is_logged or any(
             witness in pending.acks for witness in config.witnesses
         )
         if not is_kept_outside_zone:
@@ -498,7 +498,7 @@
         del self._pending[claim.claim_id]
         won = data.ClaimVerdict(data.ClaimState.WON, claim.claim_id)
         actions: list[Action] = [Verdict(claim.claim_id, won)]
-        if pending.logged:
+        if pending.is_logged:
             self._drop_claim(claim.claim_id)
             return actions
         local = self._local_claim(claim.claim_id)
@@ -576,7 +576,7 @@
         actions = self._advance(now_ms)
         actions += self._reappend(now_ms)
         for pending in list(self._pending.values()):
-            if now_ms - pending.began_ms >= DECISION_TIMEOUT_MS:
+            if now_ms - pending.started_ms >= DECISION_TIMEOUT_MS:
                 actions += self._withdraw(
                     pending, _not_claimed_verdict(pending)
                 )
@@ -584,7 +584,7 @@
             due_ms = RESEND_INTERVAL_MS
             if not pending.witnesses_asked:
                 due_ms = WITNESS_DELAY_MS
-            if now_ms - pending.asked_ms >= due_ms and self.is_active:
+            if now_ms - pending.last_asked_ms >= due_ms and self.is_active:
                 actions += self._send_asks(pending, now_ms)
         return actions
 
@@ -653,11 +653,11 @@
                 for c in earlier_configs
             )
             # A participant that has not answered yet may resolve the doubt.
-            if not doubt or now_ms - transition.began_ms >= DOUBT_DELAY_MS:
+            if not doubt or now_ms - transition.started_ms >= DOUBT_DELAY_MS:
                 return self._activate(config, transition, doubt)
-        if now_ms - transition.asked_ms < RESEND_INTERVAL_MS:
+        if now_ms - transition.last_asked_ms < RESEND_INTERVAL_MS:
             return []
-        transition.asked_ms = now_ms
+        transition.last_asked_ms = now_ms
         fence = gm.GroupFence(self._zone, config.epoch)
         missing = {
             peer
--- a/sesamecross/ops/dispatch.py
+++ b/sesamecross/ops/dispatch.py
@@ -348,7 +348,7 @@
             )
         observation = dataclasses.replace(
             observation,
-            in_batch=open_call.chosen.in_batch + 1,
+            batch_size=open_call.chosen.batch_size + 1,
             uncached_tokens=_prefilled_tokens(open_call, observation),
         )
         state.latency_model.observe(observation)
--- a/sesamecross/ops/estimates.py
+++ b/sesamecross/ops/estimates.py
@@ -97,7 +97,7 @@
     """Measurements of one relayed call.
 
     Attributes:
-      in_batch: Estimated calls at the upstream when it was dispatched.
+      batch_size: Estimated calls at the upstream when it was dispatched.
       uncached_tokens: Estimated uncached prompt tokens at that time.
       first_ms: From dispatch to the first token; None if there was none.
       between_ms: Mean time between later tokens; None for fewer than two.
@@ -106,7 +106,7 @@
         it does not.
     """
 
-    in_batch: float
+    batch_size: float
     uncached_tokens: float
     first_ms: float | None
     between_ms: float | None
@@ -140,7 +140,9 @@
                 observation.uncached_tokens, observation.first_ms
             )
         if observation.between_ms is not None:
-            self._between.observe(observation.in_batch, observation.between_ms)
+            self._between.observe(
+                observation.batch_size, observation.between_ms
+            )
         self._call_ms += (
             observation.duration_ms - self._call_ms
         ) * _CALL_MS_SMOOTHING
@@ -157,6 +159,6 @@
         """Estimates how many concurrent calls keep within `between_ms`."""
         return self._between.solve_for(between_ms)
 
-    def between_ms(self, in_batch: float) -> float:
-        """Estimates the time between tokens with `in_batch` calls."""
-        return self._between.predict(in_batch)
+    def between_ms(self, batch_size: float) -> float:
+        """Estimates the time between tokens with `batch_size` calls."""
+        return self._between.predict(batch_size)
--- a/sesamecross/ops/gossip.py
+++ b/sesamecross/ops/gossip.py
@@ -112,20 +112,20 @@
             if key.startswith(prefix):
                 yield item
 
-    def delta_for(self, link: PeerVersions, limit: int) -> list[Item]:
+    def delta_for(self, peer_versions: PeerVersions, limit: int) -> list[Item]:
         """Returns items that the peer lacks, newest first; marks them known.
 
         Args:
-          link: The stream's peer.
+          peer_versions: What the stream's peer is known to have.
           limit: How many items one message may carry.
         """
         delta = []
         for item in reversed(self._items.values()):
-            crosses_zones = link.zone != self._zone
+            crosses_zones = peer_versions.zone != self._zone
             if crosses_zones and not item.everywhere:
                 continue
-            if link.lacks(item):
-                link.mark_known(item)
+            if peer_versions.lacks(item):
+                peer_versions.mark_known(item)
                 delta.append(item)
                 if len(delta) >= limit:
                     break
--- a/sesamecross/ops/group_planner.py
+++ b/sesamecross/ops/group_planner.py
@@ -126,19 +126,19 @@
     source_zone = zone
     if not any(member.zone == zone for member in alive.values()):
         source_zone = me.zone
-    pool = {n: m for n, m in alive.items() if m.zone == source_zone}
+    eligible = {n: m for n, m in alive.items() if m.zone == source_zone}
     kept = []
     if current is not None:
         kept = [
             peer
             for peer in current.members
-            if _is_alive(peer, alive) and peer.instance in pool
+            if _is_alive(peer, alive) and peer.instance in eligible
         ]
-    ranked = rendezvous.top(f"group/{zone}", pool, len(pool))
+    ranked = rendezvous.top(f"group/{zone}", eligible, len(eligible))
     added = [
-        pool[name].incarnation
+        eligible[name].incarnation
         for name in ranked
-        if pool[name].incarnation not in kept
+        if eligible[name].incarnation not in kept
     ]
     return tuple((kept + added)[:MAX_MEMBERS])
 
--- a/sesamecross/ops/ledger.py
+++ b/sesamecross/ops/ledger.py
@@ -59,9 +59,9 @@
         earlier epoch can't be: the engine has restarted since.
       sizes: Size in MiB by name of what is declared now.
     """
-    capacity = declared_mib
+    capacity_mib = declared_mib
     if report.capacity_mib:
-        capacity = min(capacity, report.capacity_mib)
+        capacity_mib = min(capacity_mib, report.capacity_mib)
     resident = frozenset(report.resident)
     loads: dict[str, int] = {}
     unloads: set[str] = set()
@@ -74,13 +74,13 @@
         elif order.target not in resident:
             # Two orders for one target give one copy. The larger size counts,
             # as the declared size may have changed between them.
-            size = max(order.memory_mib, loads.get(order.target, 0))
-            loads[order.target] = size
+            size_mib = max(order.memory_mib, loads.get(order.target, 0))
+            loads[order.target] = size_mib
     declared_resident = sum(sizes.get(name, 0) for name in resident)
-    counted = max(report.used_mib, declared_resident) + sum(loads.values())
+    counted_mib = max(report.used_mib, declared_resident) + sum(loads.values())
     return Account(
-        capacity,
-        counted,
+        capacity_mib,
+        counted_mib,
         resident | frozenset(loads),
         resident - frozenset(unloads),
     )
--- a/sesamecross/ops/membership.py
+++ b/sesamecross/ops/membership.py
@@ -47,7 +47,7 @@
 @dataclasses.dataclass(slots=True)
 class _Peer:
     member: data.Member
-    heard_ms: int
+    last_heard_ms: int
     state: PeerState = PeerState.ALIVE
     own_vote: bool = False
     votes: dict[str, bool] = dataclasses.field(default_factory=dict)
@@ -91,7 +91,7 @@
     def state_of(self, instance: str) -> tuple[PeerState, int] | None:
         """Returns a member's state and when it was last heard, in ms."""
         peer = self._peers.get(instance)
-        return (peer.state, peer.heard_ms) if peer else None
+        return (peer.state, peer.last_heard_ms) if peer else None
 
     def add_member(self, member: data.Member, now_ms: int) -> bool:
         """Adds a member named by the log, a peer or the platform.
@@ -124,9 +124,9 @@
         peer = self._peers.get(member.incarnation.instance)
         if peer is None:
             return []
-        if now_ms - peer.heard_ms > self._suspect_ms:
+        if now_ms - peer.last_heard_ms > self._suspect_ms:
             peer.continuous_since_ms = now_ms
-        peer.heard_ms = now_ms
+        peer.last_heard_ms = now_ms
         if leaving and peer.state is not PeerState.LEAVING:
             peer.state = PeerState.LEAVING
             return [BeliefChanged(peer.member, peer.state)]
@@ -169,7 +169,7 @@
         me = self._me.incarnation.instance
         if me not in watchers:
             return []
-        is_silent = now_ms - peer.heard_ms > self._suspect_ms
+        is_silent = now_ms - peer.last_heard_ms > self._suspect_ms
         damping = min(2**peer.flaps, _MAX_FLAP_DAMPING)
         continuous_ms = now_ms - peer.continuous_since_ms
         if peer.own_vote and not is_silent:
--- a/sesamecross/ops/placement.py
+++ b/sesamecross/ops/placement.py
@@ -105,7 +105,7 @@
                 )
             )
 
-    def unload(self, upstream: str, name: str, size: int, why: str) -> None:
+    def unload(self, upstream: str, name: str, size_mib: int, why: str) -> None:
         """Adds an unload. Its memory is free only once it is confirmed."""
         self.held[upstream].discard(name)
         adapters = self.inputs.declarations.adapters
@@ -114,7 +114,7 @@
             action = data.OrderAction.UNLOAD_ADAPTER
         declared = self.inputs.declarations.upstreams[upstream]
         if declared.zone == self.inputs.zone:
-            self.moves.append(Move(upstream, action, name, "", size, why))
+            self.moves.append(Move(upstream, action, name, "", size_mib, why))
 
 
 def plan(inputs: Inputs) -> Plan:
@@ -214,8 +214,10 @@
     """
     best: tuple[int, str, list[str]] | None = None
     for upstream in sorted(builder.remaining_mib):
-        freed, names = _eviction_candidates(builder, upstream, model.memory_mib)
-        if builder.remaining_mib[upstream] + freed < model.memory_mib:
+        freed_mib, names = _eviction_candidates(
+            builder, upstream, model.memory_mib
+        )
+        if builder.remaining_mib[upstream] + freed_mib < model.memory_mib:
             continue
         if best is None or len(names) < best[0]:
             best = (len(names), upstream, names)
@@ -237,7 +239,7 @@
 
 
 def _eviction_candidates(
-    builder: _PlanBuilder, upstream: str, needed: int
+    builder: _PlanBuilder, upstream: str, needed_mib: int
 ) -> tuple[int, list[str]]:
     declarations = builder.inputs.declarations
     sizes = ledger.sizes_of(declarations)
@@ -248,13 +250,13 @@
     demand = builder.inputs.demand
     candidates.sort(key=lambda name: (demand.get(name, 0.0), name))
     chosen: list[str] = []
-    freed = 0
+    freed_mib = 0
     for name in candidates:
-        if builder.remaining_mib[upstream] + freed >= needed:
+        if builder.remaining_mib[upstream] + freed_mib >= needed_mib:
             break
         chosen.append(name)
-        freed += sizes.get(name, 0)
-    return freed, chosen
+        freed_mib += sizes.get(name, 0)
+    return freed_mib, chosen
 
 
 def _may_unload(
@@ -321,15 +323,15 @@
             for name in sorted(builder.held[upstream])
             if _is_surplus(builder, upstream, name)
         ]
-        freed = sum(sizes.get(name, 0) for name in surplus)
-        if builder.remaining_mib[upstream] + freed < model.memory_mib:
+        freed_mib = sum(sizes.get(name, 0) for name in surplus)
+        if builder.remaining_mib[upstream] + freed_mib < model.memory_mib:
             continue
         for name in surplus:
             if builder.remaining_mib[upstream] >= model.memory_mib:
                 break
-            size = sizes.get(name, 0)
+            size_mib = sizes.get(name, 0)
             reason = f"makes room for a declared replica of {model.name}"
-            builder.unload(upstream, name, size, reason)
+            builder.unload(upstream, name, size_mib, reason)
         builder.remaining_mib[upstream] = 0
         return
 
--- a/sesamecross/ops/routing.py
+++ b/sesamecross/ops/routing.py
@@ -119,7 +119,7 @@
     is_leaving: bool = False
     absent: dict[str, int] = dataclasses.field(default_factory=dict)
 
-    def in_batch(self, now_ms: int) -> float:
+    def batch_size(self, now_ms: int) -> float:
         """Estimates the calls at the upstream, of this and other entries."""
         if self.report is None:
             return float(self.own_calls)
@@ -153,13 +153,13 @@
         share = max(MIN_CALLS, max_calls / self.entries)
         return (
             self.own_calls + 1 <= share
-            or self.in_batch(now_ms) + 1 <= max_calls
+            or self.batch_size(now_ms) + 1 <= max_calls
         )
 
     def has_spare_capacity(self, promise: data.Promise, now_ms: int) -> bool:
         """Tells whether a call that will be late delays no others there."""
         spare_calls = self.max_calls(promise) * SPARE_SHARE
-        return self.in_batch(now_ms) + 1 <= max(MIN_CALLS, spare_calls)
+        return self.batch_size(now_ms) + 1 <= max(MIN_CALLS, spare_calls)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -177,7 +177,7 @@
     between_ms: float
     cost_ms: float
     keeps_promise: bool
-    in_batch: float
+    batch_size: float
     uncached_tokens: float
     known_cached_tokens: float
     prefill_tokens: float
@@ -208,18 +208,18 @@
       now_ms: Monotonic time.
       is_home: Whether the upstream is the home of the prompt's prefix.
     """
-    in_batch = upstream.in_batch(now_ms)
+    batch_size = upstream.batch_size(now_ms)
     known = upstream.prefix_cache.cached_tokens(call.blocks)
     cached = max(known, _tokens_cached_at_home(call)) if is_home else known
     uncached = max(0.0, call.prompt_tokens - cached)
     prefill = uncached + upstream.prefill_tokens
     latency_model = upstream.latency_model
-    calls_waiting = max(0.0, in_batch + 1 - upstream.declared.concurrency)
+    calls_waiting = max(0.0, batch_size + 1 - upstream.declared.concurrency)
     queue_ms = (
         calls_waiting * latency_model.call_ms / upstream.declared.concurrency
     )
     distance_ms = _distance_ms(upstream, location)
-    between_ms = latency_model.between_ms(in_batch + 1)
+    between_ms = latency_model.between_ms(batch_size + 1)
     first_ms = 2 * distance_ms + queue_ms + latency_model.first_ms(prefill)
     first_ms += between_ms
     waited_ms = now_ms - call.arrived_ms
@@ -237,7 +237,7 @@
         between_ms,
         cost_ms,
         meets_promise,
-        in_batch,
+        batch_size,
         uncached,
         known,
         prefill,
