--- a/sesamecross/ops/answer_validator.py
+++ b/sesamecross/ops/answer_validator.py
@@ -1,9 +1,8 @@
 """Validates that an engine's events continue the answer of exactly one call.
 
-An event of another call would deliver another caller's answer, and a token
-number other than the next one means a lost or duplicated token. One validator
-counts tokens over all attempts of a call, so that a resumed answer joins the
-part already sent without a gap or a repetition.
+An event of another call would deliver another caller's answer; a token number
+other than the next one means a lost or duplicated token. Tokens are counted
+over all attempts of a call, so that a resumed answer has no gap or repetition.
 """
 
 import dataclasses
@@ -56,7 +55,7 @@
 
 
 class InvalidEventError(Exception):
-    """The attempt's event stream is invalid and must be abandoned."""
+    """The attempt's event stream can't be trusted any further."""
 
 
 class AnswerValidator:
@@ -75,8 +74,8 @@
         self._call_id = call_id
         self._text: list[str] = []
         self.tokens = 0
-        # Set when a later attempt sent the text so far as part of the prompt:
-        # that engine numbers its tokens from 1 again.
+        # Set when an engine got the text so far in its prompt: it numbers its
+        # tokens anew.
         self.ignores_event_ids = False
         self.done = False
         self.cached_tokens: int | None = None
@@ -90,12 +89,11 @@
         """Validates the next event of the answer.
 
         Returns:
-          The parsed event; None for the end marker and for tokens that were
-          already passed on.
+          The event; None for the end marker and for tokens already passed on.
 
         Raises:
-          InvalidEventError: The event can't be parsed, belongs to another
-            call, or leaves out a token.
+          InvalidEventError: The event is malformed, of another call, or skips
+            a token.
         """
         if event.data == DONE:
             self.done = True
--- a/sesamecross/ops/assignment.py
+++ b/sesamecross/ops/assignment.py
@@ -1,10 +1,9 @@
 """Assigns model replicas to engines from the declarations alone.
 
-Each zone's lease holder plans on its own, and after a cold start they hear of
-engines in different orders. If a model that is resident nowhere went to the
-engine with the most free memory at that moment, two holders could both load
-it, or neither. A pure function of the declarations gives all holders the same
-assignment.
+Each zone's lease holder plans on its own and, after a cold start, hears of
+engines in another order. If models went to the engine with the most free
+memory at that moment, two holders could load one twice, or neither would. A
+pure function of the declarations gives all holders the same assignment.
 """
 
 import functools
@@ -16,11 +15,10 @@
 
 
 def assigned_engines(declarations: data.Declarations) -> Assignment:
-    """Returns the engines assigned to each model's replicas, by model name.
+    """Returns the engines assigned to each model's replicas.
 
-    Models are placed by size, largest first, each on the engine with the most
-    unassigned memory. The first replicas of all models that must stay are
-    placed before any further replica.
+    The largest model goes first, to the engine with the most unassigned memory;
+    the first replicas of models that must stay precede all further replicas.
     """
     engines = tuple(
         (engine.name, engine.memory_mib) for engine in declarations.engines()
--- a/sesamecross/ops/call_queue.py
+++ b/sesamecross/ops/call_queue.py
@@ -1,10 +1,9 @@
 """Priority queue of the calls that wait for capacity at an upstream.
 
-When demand exceeds capacity, the order of the queue decides which calls meet
-their latency targets. Smaller priority numbers go first. Waiting raises a
-call's priority step by step, so that low-priority calls are delayed but never
-starved. At equal priority, calls that can still meet their target go before
-those that can't, and then callers with fewer dispatched calls go first.
+When demand exceeds capacity, the order decides which calls meet their latency
+targets. Smaller priority numbers go first; waiting raises a call's priority
+step by step, so that none starves. At equal priority, calls that can still
+meet their target go first, then callers with fewer dispatched calls.
 """
 
 from collections.abc import Iterator
@@ -22,19 +21,19 @@
 
     def __init__(self) -> None:
         self._calls: dict[str, routing.Call] = {}
-        # Calls dispatched per caller, halved when a count exceeds 1000. The
-        # caller with the smaller count goes first.
+        # Calls dispatched per caller, halved now and then; the caller with
+        # fewer goes first.
         self._dispatch_counts: dict[str, float] = {}
 
     def __len__(self) -> int:
         return len(self._calls)
 
     def add(self, call: routing.Call) -> None:
-        """Adds a call to the queue."""
+        """Queues a call."""
         self._calls[call.call_id] = call
 
     def remove(self, call_id: str) -> routing.Call | None:
-        """Removes and returns a call, or returns None if it is not queued."""
+        """Removes and returns a call; None if it is not queued."""
         return self._calls.pop(call_id, None)
 
     def by_priority(self, now_ms: int) -> list[routing.Call]:
@@ -78,7 +77,7 @@
             }
 
     def expired(self, now_ms: int) -> Iterator[routing.Call]:
-        """Yields calls past their class's queueing limit or their deadline."""
+        """Yields calls past their class's queueing limit or deadline."""
         for call in list(self._calls.values()):
             waited_ms = now_ms - call.arrived_ms
             if waited_ms >= call.promise.queue_ms or now_ms >= call.deadline_ms:
--- a/sesamecross/ops/catchup.py
+++ b/sesamecross/ops/catchup.py
@@ -1,9 +1,9 @@
 """How a replica of the shared state catches up with the log.
 
 Records expire, so an instance that starts late or was disconnected for long
-finds a gap between its state and the oldest record on the log. It may cross
-the gap only with a snapshot that covers it: replaying from behind the gap
-would give a state that no other instance has.
+finds a gap between its state and the log. Only a snapshot that covers the gap
+may bridge it: replaying from behind it would give a state that no other
+instance has.
 """
 
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class CatchupState(enum.Enum):
-    """Whether a replica can apply what it reads."""
+    """Whether a replica applies what it reads."""
 
     FOLLOWING = "following"
     SEEKING_SNAPSHOT = "seeking-snapshot"
@@ -66,13 +66,9 @@
         self._read_offset = start + len(payloads)
 
     def install_snapshot(self, snapshot: records.StateSnapshot) -> bool:
-        """Replaces the state by a snapshot's if that is newer.
+        """Installs a snapshot that is newer; tells whether it did.
 
-        The state never goes back: an older or a damaged snapshot changes
-        nothing.
-
-        Returns:
-          Whether the snapshot was installed.
+        The state never goes back: an older snapshot changes nothing.
         """
         if snapshot.upto < self.state.next_offset:
             return False
@@ -87,8 +83,7 @@
         return True
 
     def _leave_gap(self, buffered: list[tuple[int, bytes]]) -> None:
-        # Records read after the gap can be applied only if the snapshot
-        # reaches up to the first of them.
+        # Records read after the gap apply only if the snapshot reaches them.
         if buffered and buffered[0][0] > self.state.next_offset:
             self._buffer = buffered
             return
--- a/sesamecross/ops/claim_group.py
+++ b/sesamecross/ops/claim_group.py
@@ -1,25 +1,21 @@
 """One participant's part in deciding a zone's claims.
 
-Calls that must not run twice (pass logs and orders) have to go on while the
-log is unreachable and while a zone is partitioned, and still no call may run
-twice. Whether the log is reachable or not, a key is decided in one place: by
-the group of its caller's home zone. A claim is committed (`counted` in the
-record) when
+Pass logs and orders must go on while the log is unreachable and while a zone
+is partitioned, and still no call may run twice. A key is therefore always
+decided in one place: by the group of its caller's home zone. A claim is
+committed (`counted` in the record) when
 
 1. every member of the epoch that is not proved dead keeps it, and
 2. it is kept outside the zone as well: on the log, or by a witness in another
    zone; or, if neither can be reached, all members are isolated and there
    are at least two of them. No participant ever decides alone.
 
-A new epoch becomes active at a member only when, of the participants of the
-epochs since the last sealed one, all but at most one have stopped or are
-proved dead. The one that is left can't decide alone, so it can't decide at
-all. The claims kept by those that stopped are taken over. If all members of
-an epoch are lost, claims made in isolation may be lost with them, and the
-zone is in doubt unless at most one of its members could have been isolated.
-
-A participant is isolated when it has heard from neither the log nor any
-witness for `ISOLATION_TIMEOUT_MS`; messages call that `dark`.
+A new epoch becomes active at a member only when all participants of the
+epochs since the last sealed one, but at most one, have stopped or are proved
+dead. The one that is left can't decide alone, so it can't decide at all.
+Claims kept by those that stopped are taken over. If all members of an epoch
+are lost, claims made in isolation may be lost with them, and the zone is in
+doubt unless at most one of its members could have been isolated.
 
 Deterministic: typed inputs and a time go in, typed actions come out. The
 caller supplies proofs of death: a refused connection or a newer incarnation
@@ -35,9 +31,9 @@
 from sesamecross.ops import groups
 
 # A member that heard neither from the log nor from any witness for this long
-# is isolated. A witness proves that a member died in contact only within half
-# of this time. Nothing else here depends on elapsed time (on the clock's rate,
-# never on the time of day), and it can only clear a doubt.
+# is isolated (`dark` in messages). A witness proves that a member died in
+# contact only within half of it. Only here does elapsed time count (a rate,
+# never the time of day), and it can only clear a doubt.
 ISOLATION_TIMEOUT_MS = 4000
 IN_CONTACT_MS = ISOLATION_TIMEOUT_MS // 2
 RESEND_INTERVAL_MS = 250
@@ -58,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Append:
-    """Records for the log, to be written in one append."""
+    """Records for the log, in one append."""
 
     records: tuple[object, ...]
 
@@ -73,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Activated:
-    """This member may decide in its epoch from now on."""
+    """This member may now decide in its epoch."""
 
     epoch: int
     doubt: bool
@@ -114,7 +110,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _EpochTransition:
-    """Progress of this member towards being active in an epoch."""
+    """Progress towards being active in an epoch."""
 
     epoch: int
     started_ms: int
@@ -189,7 +185,7 @@
 
     @property
     def kept(self) -> int:
-        """Number of claims kept here that are not known to be on the log."""
+        """Number of claims kept here and not known to be on the log."""
         return len(self._local_claims)
 
     @property
@@ -203,7 +199,7 @@
         )
 
     def is_isolated(self, now_ms: int) -> bool:
-        """Tells whether log and witnesses have been out of reach for long."""
+        """Tells whether log and witnesses have long been out of reach."""
         return (
             not self._is_log_reachable
             and now_ms - self._last_contact_ms >= ISOLATION_TIMEOUT_MS
@@ -238,7 +234,7 @@
         Args:
           peer: The dead incarnation.
           in_contact: Whether it answered a heartbeat of this participant
-            that was sent within `IN_CONTACT_MS` before the proof.
+            sent within `IN_CONTACT_MS` before the proof.
           now_ms: Monotonic time.
         """
         self._dead_peers.add(peer)
@@ -247,7 +243,7 @@
         return self._advance(now_ms)
 
     def on_replayed(self, next_offset: int, now_ms: int) -> list[Action]:
-        """Handles that the log was replayed up to an offset."""
+        """Handles that the log was replayed to an offset."""
         self._next_offset = max(self._next_offset, next_offset)
         self._drop_logged_claims()
         return self._advance(now_ms)
@@ -270,7 +266,7 @@
         verdict: data.ClaimVerdict | None,
         now_ms: int,
     ) -> list[Action]:
-        """Handles a claim of this zone that is on the log."""
+        """Handles a claim of this zone on the log."""
         pending = self._pending.get(record.claim_id)
         won = verdict is not None and verdict.state is data.ClaimState.WON
         if pending is not None and won:
@@ -284,7 +280,7 @@
     # -- inputs: claims ------------------------------------------------------
 
     def claim(self, record: records.ClaimMade, now_ms: int) -> list[Action]:
-        """Starts to decide a claim; only the active leader does so."""
+        """Starts to decide a claim at the leader."""
         config = self.config
         if not self.is_active or self.leader != self._me:
             return [Verdict(record.claim_id, None)]
@@ -329,8 +325,8 @@
         config = self.config
         kept: tuple[object, ...] = ()
         if local is not None and settled.executed:
-            # If the claim reached the log after its outcome, the outcome
-            # would be lost, so both go in one append.
+            # A claim that reached the log after its outcome would lose it,
+            # so both go in one append.
             kept = (dataclasses.replace(local.claim, counted=True),)
         actions: list[Action] = [Append((*kept, settled))]
         if config is not None:
@@ -527,7 +523,7 @@
         return actions
 
     def on_withdrawn(self, message: gm.ClaimWithdrawn) -> None:
-        """Drops a claim that the leader withdrew before it was committed."""
+        """Drops a claim that the leader withdrew."""
         self._drop_claim(message.claim_id)
 
     def on_told(self, message: gm.ClaimTold) -> None:
@@ -572,7 +568,7 @@
         return self._advance(now_ms)
 
     def tick(self, now_ms: int) -> list[Action]:
-        """Handles what is due by time: resends, appends and timeouts."""
+        """Resends, appends again and times out what is due."""
         actions = self._advance(now_ms)
         actions += self._reappend(now_ms)
         for pending in list(self._pending.values()):
@@ -589,7 +585,7 @@
         return actions
 
     def _reappend(self, now_ms: int) -> list[Action]:
-        """Appends committed claims again that are not on the log yet.
+        """Appends committed claims that the log still lacks.
 
         The first append may be lost with the steward that queued it.
         """
@@ -621,7 +617,7 @@
             return []
         actions: list[Action] = []
         if self._active_epoch and self._active_epoch < config.epoch:
-            # Claims pending under the old epoch can't be committed any more.
+            # Pending claims can't be committed under the old epoch any more.
             self._active_epoch = 0
             for pending in list(self._pending.values()):
                 actions += self._withdraw(
@@ -699,8 +695,7 @@
                 self._take_over_claim(kept)
         local_records: list[object] = []
         for local in self._local_claims.values():
-            # Whether it was committed can't be known any more, so it is
-            # treated as committed.
+            # Whether it was committed is unknown now, so it counts as such.
             local.counted = True
             local.claim = dataclasses.replace(local.claim, counted=True)
             local_records.append(local.claim)
@@ -711,8 +706,8 @@
         self._past_active_epochs.add(config.epoch)
         self._has_unsealed_doubt = doubt
         seal = records.GroupSealed(self._zone, config.epoch, doubt)
-        # One append, because a seal on the log promises that all earlier
-        # claims are there too: those taken over and those kept here.
+        # In one append: a seal on the log promises that all earlier claims are
+        # there too, those taken over and those kept here.
         return [
             Append((*local_records, seal)),
             Activated(config.epoch, doubt),
--- a/sesamecross/ops/claims.py
+++ b/sesamecross/ops/claims.py
@@ -1,9 +1,9 @@
 """Claims for calls that run at most once: the first claim on the log wins.
 
-A caller that got no answer repeats a call that must not run twice (a pass log
-or an order), perhaps at another instance at the same moment. The claim is
-written to the log before the call is dispatched, so a second arrival finds
-it, gets the first one's answer, and never runs the call.
+A caller without an answer sends a pass log or an order again, perhaps to
+another instance at the same moment. The claim is logged before the call is
+dispatched, so a second arrival finds it, gets the first one's answer, and
+never runs the call.
 """
 
 import dataclasses
@@ -33,11 +33,8 @@
 class ClaimTable:
     """Claims by name, oldest first, and each claim id's name.
 
-    The whole table is part of the dumped state (see replay.StateDump), so its
-    fields keep their names.
-
-    Attributes:
-      gone: Holders that will never settle their open claims, oldest first.
+    `gone` lists holders that will never settle their open claims. The field
+    names are part of the state dump.
     """
 
     by_name: dict[str, Claim] = dataclasses.field(default_factory=dict)
@@ -51,8 +48,7 @@
 def name_of(caller: str, service: str, key: str) -> str:
     """Returns the name under which a call is claimed.
 
-    Keys are scoped by caller: two callers may choose the same key. The length
-    prefixes keep different triples from giving one name.
+    Keys are scoped by caller: two callers may choose the same key.
     """
     return f"{len(caller)}:{caller}/{len(service)}:{service}/{key}"
 
@@ -65,8 +61,7 @@
     Args:
       table: Changed in place.
       record: The claim.
-      remembered: How many claims are kept; the oldest settled ones are
-        evicted first.
+      remembered: How many claims are kept; the oldest settled go first.
 
     Returns:
       The verdict for the claimant.
@@ -113,7 +108,7 @@
 
 
 def settle(table: ClaimTable, record: records.ClaimSettled) -> None:
-    """Records an outcome; only the first outcome of a claim is stored.
+    """Records an outcome; the first outcome of a claim is final.
 
     A claim whose call was not dispatched is removed, so that the caller may
     send the call again under the same key.
--- a/sesamecross/ops/config_log.py
+++ b/sesamecross/ops/config_log.py
@@ -1,9 +1,8 @@
 """Optimistic concurrency control of published configurations.
 
-Two operators may publish from the same base version, an operator may retry
-after an append whose answer was lost, and an older program may read a newer
-format. All instances must reach the same verdict in each case, so the rule
-reads nothing but the records.
+Two operators publish from the same base, an operator retries an append whose
+answer was lost, or an older program reads a newer format. All instances must
+reach the same verdict, so the rule reads nothing but the records.
 """
 
 import dataclasses
@@ -85,8 +84,8 @@
         """Evaluates a change and puts it in force if it is accepted."""
         earlier_verdict = self.state.verdicts.get(change.change_id)
         if earlier_verdict is not None:
-            # The append took effect but its answer was lost, and the operator
-            # published again: it is one change and keeps its first verdict.
+            # The append took effect, its answer was lost and the operator
+            # published again: one change, which keeps its first verdict.
             return earlier_verdict
         verdict = self._evaluate(offset, change)
         self.state.verdicts[change.change_id] = verdict
@@ -156,7 +155,7 @@
         )
 
     def tree_at(self, version: int) -> dict | None:
-        """Returns the tree of an older version, or None if it is not kept."""
+        """Returns the tree of an older version, or None if not kept."""
         tree = self.state.tree
         current = self.state.version
         for entry in reversed(self.state.history):
--- a/sesamecross/ops/dispatch.py
+++ b/sesamecross/ops/dispatch.py
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MayHaveRun(FailureKind):
-    """The upstream failed after it may have started the call."""
+    """The upstream failed after it may have begun."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -65,9 +65,9 @@
     """A call that is queued or dispatched.
 
     Attributes:
-      may_have_run: Whether any of its attempts may have started.
-      state: The record in which the call is counted. A new configuration may
-        replace the upstream's record, and the new one never counted the call.
+      may_have_run: Whether any of its attempts may have begun.
+      state: The record that counts the call. A new configuration may give its
+        upstream another record, which has never counted it.
     """
 
     call: routing.Call
@@ -118,7 +118,7 @@
 
     @property
     def open_calls(self) -> int:
-        """Number of calls that are queued or dispatched."""
+        """Number of queued and dispatched calls."""
         return len(self._open_calls)
 
     # -- configuration and reports --------------------------------------
@@ -148,8 +148,7 @@
             if known is None or known.declared.url != declared.url:
                 self.upstreams[name] = self._new_state(declared, region)
                 continue
-            # Still the same engine: its last report and the calls open there
-            # stay valid under the new limits.
+            # The same engine under new limits: its report and open calls stay.
             known.declared = declared
             known.region = region
 
@@ -167,8 +166,7 @@
             return
         earlier = state.report
         if earlier is not None and earlier.epoch != report.epoch:
-            # The upstream restarted: its cache is empty, and its earlier
-            # statement that it is leaving no longer holds.
+            # Restarted: its cache is empty and earlier refusals are void.
             state.prefix_cache.clear()
             state.is_leaving = False
         if earlier is not None and earlier == report:
@@ -395,7 +393,7 @@
         match failure:
             case NotRun(leaving=True):
                 # The upstream's own answer counts at once; the platform's list
-                # would show it only after its lag.
+                # lags.
                 state.is_leaving = True
             case NotRun(absent=True):
                 state.absent[open_call.call.target] = now_ms
@@ -411,12 +409,11 @@
             return self._refuse(open_call, refusal.deadline_passed(executed))
         eligible = self._eligible_upstreams(open_call, now_ms)
         if not eligible:
-            # Every upstream has failed this call once; a passing fault may
-            # be over.
+            # Every upstream failed this call once; a passing fault may be over.
             open_call.excluded.clear()
             eligible = self._eligible_upstreams(open_call, now_ms)
-        # A retry of what was proved not to have run costs the upstreams
-        # nothing; only work that may be done twice spends the retry budget.
+        # A retry of what was proved not to have run is free; only work that may
+        # be done twice spends the retry budget.
         is_free = (
             isinstance(failure, NotRun) and open_call.attempts < MAX_ATTEMPTS
         )
@@ -478,9 +475,9 @@
 ) -> float:
     """Returns the prompt tokens that were processed until the first token.
 
-    The engine's own count of cached tokens is used if there is one, not the
-    estimate at dispatch: fitted to wrong estimates, the slope comes out too
-    flat, and cached prefixes would no longer influence routing.
+    The engine's own count of cached tokens takes precedence over the estimate
+    at dispatch: fitted to wrong estimates, the slope comes out too flat, and
+    cached prefixes would no longer influence routing.
     """
     chosen = open_call.chosen
     if observation.cached_tokens is None:
@@ -500,10 +497,9 @@
 ) -> list[routing.UpstreamState]:
     """Returns the upstreams to which a call may go now.
 
-    Beyond saturation each call that is admitted late makes others miss their
-    latency targets too, until no call meets its target. A call is therefore
-    admitted only where it meets its target by estimate, or where there is
-    spare capacity.
+    Beyond saturation each call admitted late makes others late too, until no
+    call meets its latency target. So a call goes only where it meets its
+    target by estimate, or where there is spare capacity.
     """
     home = routing.prefix_home(call, eligible)
     return [
--- a/sesamecross/ops/gossip.py
+++ b/sesamecross/ops/gossip.py
@@ -1,9 +1,9 @@
 """Versioned items that spread by gossip over the overlay's streams.
 
 Upstream reports, demand and suspicion votes must reach every steward that
-needs them within one or two seconds, at a bounded number of bytes. Each
-version is sent at most once per stream. A newer version replaces one that was
-not sent yet, so a slow stream gets fewer updates and never builds up a queue.
+needs them within a second or two, at a bounded number of bytes. Each version
+is sent once per stream; a newer version replaces an unsent one, so a slow
+stream gets fewer updates and never builds up a queue.
 """
 
 from collections.abc import Iterator
@@ -23,11 +23,11 @@
 
     Attributes:
       key: Kind and name, such as "report/advice-1".
-      wall_ms: Wall-clock part of the version's timestamp, in ms.
-      count: Counter part of the timestamp.
+      wall_ms: First part of the version's timestamp.
+      count: Second part of it.
       value: A record in plain form, or None to withdraw the item.
-      zone: The zone where it was made.
-      everywhere: Whether it is sent to other zones.
+      zone: Where it was made.
+      everywhere: Whether it leaves that zone.
     """
 
     key: str
@@ -52,7 +52,7 @@
 
 
 class PeerVersions:
-    """The item versions that the peer of one stream is known to have."""
+    """The item versions that a stream's peer is known to have."""
 
     __slots__ = ("peer", "zone", "_known")
 
@@ -90,7 +90,7 @@
         return self._change_count
 
     def put(self, item: Item) -> bool:
-        """Stores an item; tells whether it was newer than the known version."""
+        """Stores an item; tells whether it was newer."""
         known = self._items.get(item.key)
         if known is not None and known.version >= item.version:
             return False
@@ -116,7 +116,7 @@
         """Returns items that the peer lacks, newest first; marks them known.
 
         Args:
-          peer_versions: What the stream's peer is known to have.
+          peer_versions: The stream's peer.
           limit: How many items one message may carry.
         """
         delta = []
--- a/sesamecross/ops/group_planner.py
+++ b/sesamecross/ops/group_planner.py
@@ -44,7 +44,7 @@
       zone: The group's zone.
       me: This steward.
       group: The zone's group as replayed.
-      cluster: What this steward believes of the others.
+      cluster: This steward's view of the others.
     """
     current = group.current if group else None
     alive = {
@@ -76,11 +76,10 @@
     alive: Mapping[str, data.Member],
     cluster: ClusterView,
 ) -> bool:
-    """Tells whether this steward is the one to propose.
+    """Tells whether this steward should propose.
 
-    The first live steward of the zone in rendezvous order proposes; for a zone
-    without live stewards, one of another zone does. If several propose at
-    once, the log accepts one of them.
+    The zone's first live steward does, or for a dead zone another's. Proposals
+    race harmlessly: the log accepts one.
     """
     name = me.incarnation.instance
     in_zone = [n for n, m in alive.items() if m.zone == zone]
@@ -89,7 +88,7 @@
     if in_zone or current is None:
         return False
     if any(member not in cluster.dead for member in current.members):
-        # It may only be partitioned and still decide for its own callers.
+        # Perhaps only partitioned, and deciding for its own callers.
         return False
     witnesses = [w.instance for w in current.witnesses if w.instance in alive]
     candidates = witnesses or list(alive)
@@ -101,7 +100,7 @@
     cluster: ClusterView,
     alive: Mapping[str, data.Member],
 ) -> bool:
-    """Tells whether all participants but at most one can be made to stop."""
+    """Tells whether all participants but one can be made to stop."""
     silent = [
         peer
         for peer in current.participants
--- a/sesamecross/ops/groups.py
+++ b/sesamecross/ops/groups.py
@@ -35,7 +35,7 @@
     Attributes:
       chain: Epochs from the last sealed one to the current one.
       sealed: The newest epoch before which all claims are accounted for.
-      doubt: Whether claims may have run of which no live participant knows.
+      doubt: Claims may have run that no live participant knows of.
     """
 
     chain: list[GroupConfig] = dataclasses.field(default_factory=list)
@@ -128,7 +128,7 @@
     callers: Mapping[str, data.Caller],
     record: records.HomeReleased,
 ) -> bool:
-    """Puts a caller's declared home in force from this record on."""
+    """Puts a caller's declared home in force from here on."""
     declared = callers.get(record.caller)
     if declared is None or state.homes.get(record.caller) != record.from_zone:
         return False
--- a/sesamecross/ops/leases.py
+++ b/sesamecross/ops/leases.py
@@ -1,10 +1,10 @@
 """Zone leases with the log offset as fencing token.
 
-A lease allows its holder to write intents for a zone. A holder can be paused
-past its lease and resume in the middle of a send. Time decides only when
-another steward may challenge. Whether a lease is valid is decided by the order
-on the log, and what an old holder may have sent is known from its intents, all
-of which precede the record that ended its lease.
+A holder may write intents for its zone. It can be paused past its lease and
+resume in the middle of a send. Time decides only when another steward may
+challenge; whether a lease is valid is decided by order on the log. What an old
+holder may have sent is known from its intents, which all precede the record
+that ended its lease.
 """
 
 import dataclasses
@@ -60,17 +60,17 @@
 
 
 def is_current(state: LeaseState, zone: str, fence: int) -> bool:
-    """Tells whether `fence` is the token of the zone's current lease."""
+    """Tells whether `fence` numbers the zone's current lease."""
     current = state.leases.get(zone)
     return current is not None and current.offset == fence
 
 
 class LeaseExpiryDetector:
-    """Decides by the local monotonic clock when to challenge a lease.
+    """Decides by the local monotonic clock when to challenge.
 
-    A premature challenge costs a change of holder and never safety. In
-    addition to the expiry time, each candidate waits in proportion to its rank
-    among the zone's members, so that challengers don't all write at once.
+    A premature challenge costs a change of holder and never safety. Beyond the
+    expiry time each candidate waits by its rank among the zone's members, so
+    that challengers don't all write at once.
     """
 
     __slots__ = (
--- a/sesamecross/ops/ledger.py
+++ b/sesamecross/ops/ledger.py
@@ -16,10 +16,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Account:
-    """One engine's memory as the planner must count it.
+    """One engine's memory as it must be counted.
 
     Attributes:
-      counted_mib: The most that may be in use, in MiB.
+      counted_mib: The most that may be in use.
       held: Names that are resident or may become so.
       stable: Names that are resident and that no unresolved order may remove.
     """
@@ -31,12 +31,12 @@
 
     @property
     def free_mib(self) -> int:
-        """Room for further loads in MiB, never negative."""
+        """Room for further loads, never negative."""
         return max(0, self.capacity_mib - self.counted_mib)
 
 
 def sizes_of(declarations: data.Declarations) -> dict[str, int]:
-    """Returns the size in MiB of each declared model and adapter."""
+    """Returns the MiB of each declared model and adapter."""
     sizes = {m.name: m.memory_mib for m in declarations.models.values()}
     sizes |= {a.name: a.memory_mib for a in declarations.adapters.values()}
     return sizes
--- a/sesamecross/ops/order_outcomes.py
+++ b/sesamecross/ops/order_outcomes.py
@@ -1,7 +1,7 @@
 """Derives the outcome of a logged order from an engine's status.
 
-The answer to an order can be lost, so only a later status of the engine itself
-settles it. That the status does not mention the order proves nothing alone.
+An order's answer can be lost, so only a later status of the engine settles
+it. That a status does not mention the order proves nothing by itself.
 """
 
 from sesamecross.core import records
@@ -16,11 +16,11 @@
     status: engine_http.EngineStatus,
     checks_fencing: bool,
 ) -> records.IntentOutcome | None:
-    """Returns the outcome of the order, or None while it is undecided.
+    """Returns the outcome of the order, or None while it is open.
 
-    An order that the engine does not know was lost or is still in transit.
-    Only an engine that checks fencing tokens and has seen a higher one will
-    refuse it on arrival; at any other engine it may still be applied.
+    An order that the engine does not know was lost or is late. Only an engine
+    that checks fencing tokens and has seen a higher one will refuse it on
+    arrival; at any other engine it may still be applied.
     """
     if status.report.epoch != intent.order.epoch:
         return _Outcome.VOID
--- a/sesamecross/ops/placement.py
+++ b/sesamecross/ops/placement.py
@@ -67,7 +67,7 @@
 
 
 class _PlanBuilder:
-    """Free memory and contents of the engines while a plan is built."""
+    """Free memory and contents of engines during planning."""
 
     __slots__ = ("inputs", "remaining_mib", "held", "moves", "shortfalls")
 
@@ -89,7 +89,7 @@
         record: data.Model | data.Adapter,
         reason: str,
     ) -> None:
-        """Adds a load; it becomes a move only for engines of the own zone."""
+        """Adds a load; only the own zone's become moves."""
         self.remaining_mib[upstream] -= record.memory_mib
         self.held[upstream].add(record.name)
         declared = self.inputs.declarations.upstreams[upstream]
@@ -311,8 +311,7 @@
 
     Replicas beyond the declared number arise when holders of two zones load
     the same model at once. Adapters give way too: a replica answers calls that
-    nothing else can, while calls to an adapter may be answered beside another
-    replica.
+    nothing else can, an adapter may also be held beside another replica.
     """
     sizes = ledger.sizes_of(builder.inputs.declarations)
     for upstream in sorted(builder.remaining_mib):
--- a/sesamecross/ops/prefixes.py
+++ b/sesamecross/ops/prefixes.py
@@ -2,7 +2,7 @@
 
 Uncached prompt tokens make up most of the time to the first token, and the
 engines' own cache events arrive late and with gaps. What this entry routed is
-known at once. It is evicted by size, as in the engines' caches.
+known at once; it is evicted by size, as in the engines.
 """
 
 from collections import OrderedDict
--- a/sesamecross/ops/replay.py
+++ b/sesamecross/ops/replay.py
@@ -38,8 +38,7 @@
 class StateDump:
     """The whole state in plain form, as snapshots and peers carry it.
 
-    It is written under the field names of this class and of those nested in
-    it, so a renamed field would make stored snapshots unreadable.
+    Written under field names: renaming one makes stored snapshots unreadable.
     """
 
     next_offset: int
@@ -58,9 +57,9 @@
     """The effect of one replayed record, for those who wait for it.
 
     Attributes:
-      result: Verdict, Lease, Intent or ClaimVerdict; None if the record was
-        not valid at its offset or has no result.
-      stamp: The writer's hybrid logical clock, for the timeline.
+      result: Verdict, Lease, Intent or ClaimVerdict; None if the record did
+        not count or has no result.
+      stamp: The writer's hybrid clock, for the timeline.
     """
 
     offset: int
--- a/sesamecross/ops/routing.py
+++ b/sesamecross/ops/routing.py
@@ -21,15 +21,14 @@
 # Added to the cost for traffic that is billed by volume.
 PAID_TRAFFIC_MS = 150.0
 ZONE_DISTANCE_MS = 1.0
-# Candidates whose cost is within this factor of the lowest share the calls.
+# Candidates within this factor of the lowest cost share the calls.
 SPREAD_FACTOR = 1.15
 SPREAD_MS = 5.0
-# Share of a prompt's blocks assumed to be cached at its home upstream before
-# this entry itself has sent the prefix there.
+# Share of a prompt's blocks assumed cached at its home upstream before this
+# entry itself has sent it there.
 HOME_CACHED_SHARE = 0.9
 MIN_CALLS = 2.0
-# Up to this share of its capacity an upstream also takes calls that will miss
-# their target.
+# Up to this share of its capacity an upstream also takes late calls.
 SPARE_SHARE = 0.6
 
 
@@ -40,12 +39,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeastOutstanding:
-    """Baseline: the upstream with the fewest open calls of this entry."""
+    """Baseline: the fewest open calls of this entry."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LowestEstimatedCost:
-    """The production policy: lowest cost among those meeting the target."""
+    """The production policy: estimated cost and latency target."""
 
 
 Policy = RoundRobin | LeastOutstanding | LowestEstimatedCost
@@ -89,14 +88,14 @@
 
     Attributes:
       own_calls: This entry's open calls there.
-      entries: Number of entries that share the upstream.
+      entries: Entries that share the upstream.
       prefill_tokens: Uncached prompt tokens of this entry's calls there that
         have no first token yet.
       breaker: Blocks calls after consecutive failures.
-      is_leaving: The upstream's own answer that it is leaving, ahead of any
-        report, or an operator's drain mark.
-      absent: Targets that the upstream said it does not hold, with the time of
-        that answer in monotonic ms; cleared by a later report.
+      is_leaving: Said by the upstream itself, ahead of any report, or set by a
+        drain mark.
+      absent: Targets that the upstream said it does not hold, by monotonic ms
+        of its answer; a later report clears them.
     """
 
     declared: data.Upstream
@@ -185,7 +184,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryLocation:
-    """Where the entry runs, and one-way delays to other regions in ms."""
+    """The entry's location, and one-way ms to other regions."""
 
     zone: str
     region: str
@@ -250,10 +249,10 @@
 
 
 def prefix_home(call: Call, upstreams: Iterable[UpstreamState]) -> str:
-    """Returns the home upstream of the prompt's prefix, "" without a block.
+    """Returns the home upstream of the prompt's prefix, or "".
 
-    All entries choose the same one, so that a shared prefix is cached at one
-    upstream and not at as many as there are entries.
+    All entries choose alike, so that a shared prefix is cached at one upstream
+    and not at as many as there are entries.
     """
     if not call.blocks:
         return ""
