--- a/sesamecross/gateway/app.py
+++ b/sesamecross/gateway/app.py
@@ -1,4 +1,4 @@
-"""The gateway's application object: owns its parts, their start and end."""
+"""Application object of the gateway: owns its components and its drain."""
 
 import asyncio
 from collections.abc import Callable
@@ -36,30 +36,31 @@
 from sesamecross.runtime import metrics as metrics_lib
 from sesamecross.runtime import supervisor
 
-# The balancer needs two misses, a second apart, before it sends no new
-# connections; callers that it sent meanwhile are served.
+# The load balancer stops sending new connections after two failed readiness
+# probes, a second apart; callers that it sends before are served.
 BALANCER_LAG_S = 2.6
-# Off the grace, for the last bytes to leave before the kill; of a short grace
-# no more than the sixth in which open requests may end with the process.
+# Reserved at the end of the grace period for the last bytes to be sent before
+# the kill. At most the last sixth of the grace period, in which requests in
+# progress may end with the process.
 GRACE_MARGIN_S = 0.6
 GRACE_MARGIN_SHARE = 1 / 6
-# Of that, for callers' connections to come to their end: some round trips
-# within a region.
-END_S = 0.15
-# Of what is left of the grace then, for each of the two parts that call the
-# store as they stop. The rest is for the process's own end.
-STORE_SHARE = 0.4
-_POLL_S = 0.05
-# Smaller shares of failures are not worth telling.
-FAILING_LEAST = 0.05
+# Of the margin, for callers' connections to close: some round trips within a
+# region.
+CONNECTION_CLOSE_S = 0.15
+# Share of the grace period left after that, for each of the two components
+# that call the store while they stop. The rest is for the process's exit.
+STORE_GRACE_SHARE = 0.4
+_POLL_INTERVAL_S = 0.05
+# Smaller shares of failures are not reported.
+MIN_REPORTED_FAILURE_SHARE = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformAdapter:
-    """What a platform's adapter brings: forms and names, no decisions.
+    """Codecs and names of a platform; makes no decisions.
 
     Attributes:
-      metrics_port: Where metrics are served, at the instance's own address.
+      metrics_port: Port of the metrics endpoint, at the instance's address.
     """
 
     store_codec: store.StoreCodec
@@ -74,7 +75,7 @@
 
 
 class GatewayApp:
-    """Everything that one gateway process owns."""
+    """The components and state of one gateway process."""
 
     def __init__(
         self,
@@ -101,17 +102,17 @@
 
         Args:
           instance: Its settings.
-          adapter: The platform's forms and names.
-          source: Where the settings are read anew.
+          adapter: The platform's codecs and names.
+          source: Where the settings are reloaded from.
         """
         return cls(instance, adapter, source)
 
     def reload(self) -> None:
-        """Looks at the settings again."""
+        """Reloads the settings if they changed."""
         self._reloader.reload()
 
     def components(self) -> list[supervisor.Component]:
-        """Returns the parts in the order of their start."""
+        """Creates the components; returns them in the order of their start."""
         instance, adapter = self._instance, self._adapter
         self.connection_pool = connection_pool_lib.ConnectionPool()
         self.forwarder = forwarder_lib.Forwarder(
@@ -121,7 +122,7 @@
             self._rng,
             self.metrics,
         )
-        self._ready = status.StatusHandler(self.state, None)
+        self._readiness = status.StatusHandler(self.state, None)
         metrics = status.StatusHandler(self.state, self.metrics)
         self.front = listener.Listener(
             "front", instance.front_address, self.forwarder
@@ -137,7 +138,7 @@
             ),
             catalog.UpstreamSink(self.state, adapter.decode_upstream),
         )
-        self.mesh = mesh_lib.Mesh(self.state, self._figures, self.metrics)
+        self.mesh = mesh_lib.Mesh(self.state, self._build_report, self.metrics)
         configurations = follower.Follower(
             client,
             adapter.configuration_topic,
@@ -165,9 +166,9 @@
         orders = placement_controller.PlacementController(
             self.state, self.mesh, self.lease, engines, self.metrics
         )
-        self.forwarder.engines.want = orders.want
+        self.forwarder.search_context.request_placement = orders.want
         pacing = pacing_lib.Pacing(self.state, self.mesh)
-        self.forwarder.engines.pacing = pacing
+        self.forwarder.search_context.pacing = pacing
         address = f"{instance.ip}:{instance.ports[0]}"
         self._registrar = registrar.Registrar(
             client,
@@ -179,8 +180,8 @@
         self._joiner = joiner.Joiner(self._registrar, self.mesh, instance)
         return [
             self.front,
-            listener.Listener("ready", instance.ready_address, self._ready),
-            # Callers are served without it, also where its port is taken.
+            listener.Listener("ready", instance.ready_address, self._readiness),
+            # Not vital: callers are served even if its port is taken.
             listener.Listener(
                 "metrics",
                 f"{instance.ip}:{adapter.metrics_port}",
@@ -205,8 +206,8 @@
             pacing,
         ]
 
-    def _figures(self) -> fm.Report:
-        """Returns what this instance has to tell the others."""
+    def _build_report(self) -> fm.Report:
+        """Builds the report of this instance for the others."""
         now_s = asyncio.get_running_loop().time()
         loads = []
         failing = []
@@ -214,19 +215,19 @@
             name = known.entry.instance_id
             state = known.reachability.state(now_s)
             if known.own_running or state is not reachability.State.UNKNOWN:
-                told = reachability.ReachabilityCounts().plus(state)
+                counts = reachability.ReachabilityCounts().plus(state)
                 loads.append(
                     fm.UpstreamLoad(
                         name,
                         known.own_running,
                         known.engine.own_prompt_tokens,
-                        told.hears,
-                        told.silent,
-                        told.refused,
+                        counts.hears,
+                        counts.silent,
+                        counts.refused,
                     )
                 )
             outcomes = known.health.outcomes(now_s)
-            if known.failing(now_s) >= FAILING_LEAST:
+            if known.failing(now_s) >= MIN_REPORTED_FAILURE_SHARE:
                 failing.append(
                     fm.UpstreamOutcomes(
                         name,
@@ -239,91 +240,92 @@
             0,
             loads,
             self.forwarder.uses.rows(),
-            self.forwarder.engines.demand.rows(now_s),
+            self.forwarder.search_context.demand.rows(now_s),
             failing,
             self.mesh.known_lease(now_s),
         )
 
     @property
     def _is_busy(self) -> bool:
-        """Whether the process's end would cut anything off.
+        """Whether the process's exit would cut off a request or response.
 
-        A request whose caller went away can still be open.
+        A request whose caller disconnected can still be in progress.
         """
         return self.forwarder.open_requests > 0 or self.front.is_busy
 
     async def drain(self) -> None:
-        """Finishes what callers asked for, within the grace.
+        """Drains callers' requests within the grace period.
 
-        Readiness fails at once, so that the balancer turns away; callers
-        that it still sends are served if there is time, and each answer tells
-        its caller to use another connection next.
+        Readiness fails at once, so that the load balancer stops sending
+        callers. Those that it still sends are served if there is time, and
+        each response tells its caller to use another connection next.
 
-        At the end the front door closes before any other part stops: these
-        call the store, which can take a second, and what the front took
-        meanwhile would be cut off by the process's end.
+        At the end the listener closes before any other component stops: some
+        of these call the store, which can take a second, and requests
+        accepted meanwhile would be cut off by the process's exit.
         """
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
-        self._ready.is_stopping = True
+        started_s = loop.time()
+        self._readiness.is_stopping = True
         self._log.info("draining", open=self.forwarder.open_requests)
         if not self.front.address and not self._is_busy:
-            # The balancer has sent nobody to a door that never opened.
+            # No caller has been sent to a listener that never listened.
             self._log.info("drained", open=0, connections=0)
             return
-        # The file may name another grace than when it was last looked at.
+        # The grace period in the settings file may have changed.
         self._reloader.reload()
-        known_s = begun_s + BALANCER_LAG_S
-        await self._wait_while(lambda: loop.time() < known_s, begun_s)
-        # Once: callers come back by way of the balancer, which sends them to
-        # an instance that stays. What connects from now on is about to ask.
+        balancer_done_s = started_s + BALANCER_LAG_S
+        await self._wait_while(lambda: loop.time() < balancer_done_s, started_s)
+        # Once only: these callers reconnect through the load balancer, to
+        # another instance. Later connections are about to send a request.
         self.front.close_idle()
-        await self._wait_while(lambda: self._is_busy, begun_s)
-        given_up = self.forwarder.open_requests
-        self.forwarder.end()
-        await self.front.end(END_S)
-        self._bound_store_calls(begun_s)
-        # Connections that are left have unsent bytes, or callers that don't
-        # close; the process's end closes them.
+        await self._wait_while(lambda: self._is_busy, started_s)
+        abandoned = self.forwarder.open_requests
+        self.forwarder.shut_down()
+        await self.front.shut_down(CONNECTION_CLOSE_S)
+        self._limit_store_calls(started_s)
+        # The remaining connections have unsent bytes, or callers that don't
+        # close; the process's exit closes them.
         self._log.info(
-            "drained", open=given_up, connections=len(self.front.connections)
+            "drained", open=abandoned, connections=len(self.front.connections)
         )
 
-    def _bound_store_calls(self, begun_s: float) -> None:
-        """Leaves the parts that call the store no more than is left.
+    def _limit_store_calls(self, started_s: float) -> None:
+        """Limits the store calls of the stop to the grace period left.
 
-        A silent store would hold them for 1.5 s, beyond the grace of a drain
-        that ended at its end, and the process would be killed.
+        An unresponsive store would delay them for 1.5 s. After a drain that
+        used its whole time that exceeds the grace period, and the process
+        would be killed.
         """
         now_s = asyncio.get_running_loop().time()
-        left_s = max(0.0, begun_s + self.state.bounds.grace_s - now_s)
-        share_s = left_s * STORE_SHARE
+        left_s = max(0.0, started_s + self.state.bounds.grace_s - now_s)
+        share_s = left_s * STORE_GRACE_SHARE
         self.lease.release_timeout_s = min(
             lease_manager.RELEASE_TIMEOUT_S, share_s
         )
         self._joiner.leave_timeout_s = min(joiner.LEAVE_TIMEOUT_S, share_s)
 
-    def _stop(self, begun_s: float) -> stopping.Stop:
-        """Returns the stop by the grace in force.
+    def _current_stop(self, started_s: float) -> stopping.Stop:
+        """Returns the stop's times by the current grace period.
 
-        The platform goes by the settings as they are, so that a drain by those
-        of the start would be killed midway, or end early.
+        The platform applies the current settings; a drain by those of the
+        start would be killed midway, or end early.
         """
         grace_s = self.state.bounds.grace_s
         margin_s = min(GRACE_MARGIN_S, grace_s * GRACE_MARGIN_SHARE)
-        return stopping.Stop(begun_s, begun_s + grace_s - margin_s)
+        return stopping.Stop(started_s, started_s + grace_s - margin_s)
 
     async def _wait_while(
-        self, condition: Callable[[], bool], begun_s: float
+        self, condition: Callable[[], bool], started_s: float
     ) -> None:
-        """Waits while something holds, until the stop's time is over."""
+        """Waits while the condition holds, until the stop's end."""
         loop = asyncio.get_running_loop()
         while True:
-            # Settings may change meanwhile.
-            self.forwarder.stop = self._stop(begun_s)
+            # Settings may change during the drain.
+            self.forwarder.stop = self._current_stop(started_s)
             if loop.time() >= self.forwarder.stop.ends_s:
                 return
-            # Slept first, as requests may have arrived that are not read yet.
-            await asyncio.sleep(_POLL_S)
+            # Sleeps first, as requests may have arrived that are not read yet.
+            await asyncio.sleep(_POLL_INTERVAL_S)
             if not condition():
                 return
--- a/sesamecross/gateway/app_test.py
+++ b/sesamecross/gateway/app_test.py
@@ -1,8 +1,8 @@
-"""Tests of the gateway's planned stop: what its callers see of it.
+"""Tests of the gateway's drain as its callers see it.
 
-The gateway's front door, its forwarder and its drain run in this process on
-real loopback sockets, with an upstream that answers when the test says so.
-What is around them (store, datagrams, leases) is not started.
+The listener, the forwarder and the drain run in this process on real loopback
+sockets, with an upstream that responds when the test lets it. The components
+around them (store, datagrams, lease) are not started.
 """
 
 import asyncio
@@ -23,18 +23,18 @@
 from sesamecross.gateway import connection_pool as connection_pool_lib
 from sesamecross.gateway import engine_search
 from sesamecross.gateway import forwarder as forwarder_lib
-from sesamecross.gateway import server_connection as front_lib
+from sesamecross.gateway import server_connection
 from sesamecross.gateway import store_client
 from sesamecross.ops.fleet import stopping
 from sesamecross.platform import program
 from sesamecross.ports import store
 from sesamecross.runtime import supervisor
 
-# No test waits so long; it only ends one that would hang.
-HANG_S = 10.0
-# Long enough for a drain that does not wait to end, where a test has to show
-# that it does wait. Nothing is asserted on it.
-MEANWHILE_S = 0.3
+# Ends a test that hangs; no test waits this long.
+TEST_TIMEOUT_S = 10.0
+# Long enough for a drain that wrongly doesn't wait to end. No assertion
+# depends on the value.
+OBSERVE_S = 0.3
 
 INSTANCE = dataclasses.replace(
     samples.INSTANCE,
@@ -57,7 +57,7 @@
         (serving.Target("s", 1.0),),
         1,
         1,
-        # No limit that could end a request before the stop does.
+        # Longer than any test, so that only the stop ends a request.
         500.0,
         1.0,
         1.0,
@@ -82,8 +82,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Unchanged:
-    """Settings that stay as they were at the start."""
+class UnchangedSettings:
+    """Settings source whose settings never change."""
 
     instance: serving.Instance
 
@@ -94,19 +94,19 @@
         return Success(self.instance)
 
 
-class Upstream:
-    """An upstream that answers when it is told to.
+class FakeUpstream:
+    """An upstream that responds when the test lets it.
 
     Attributes:
-      arrived: Set once a request has come.
-      answers: Set where answers may be given.
-      body: Of its whole answers.
-      requests: The paths that it was asked for.
+      arrived: Set once a request has arrived.
+      may_respond: Set by the test to let it respond.
+      body: Body of its responses that aren't streams.
+      requests: Paths of the requests received.
     """
 
     def __init__(self) -> None:
         self.arrived = asyncio.Event()
-        self.answers = asyncio.Event()
+        self.may_respond = asyncio.Event()
         self.body = b"done"
         self.requests: list[bytes] = []
         self.address = ""
@@ -120,14 +120,16 @@
                     head = await reader.readuntil(b"\r\n\r\n")
                 except asyncio.IncompleteReadError:
                     break
-                await self._answer(head, writer)
+                await self._respond(head, writer)
         writer.close()
 
-    async def _answer(self, head: bytes, writer: asyncio.StreamWriter) -> None:
-        lines = head.split(b"\r\n")
-        path = lines[0].split(b" ")[1]
+    async def _respond(self, head: bytes, writer: asyncio.StreamWriter) -> None:
+        header_lines = head.split(b"\r\n")
+        path = header_lines[0].split(b" ")[1]
         request_id = next(
-            line for line in lines if line.lower().startswith(b"request-id:")
+            line
+            for line in header_lines
+            if line.lower().startswith(b"request-id:")
         )
         out = b"HTTP/1.1 200 OK\r\nResponse-Signature: s\r\n" + request_id
         self.requests.append(path)
@@ -137,35 +139,35 @@
             out += b"%x\r\n%s\r\n" % (len(EVENTS), EVENTS)
             writer.write(out)
             self.arrived.set()
-            await self.answers.wait()
+            await self.may_respond.wait()
             writer.write(b"0\r\n\r\n")
             return
         self.arrived.set()
-        await self.answers.wait()
+        await self.may_respond.wait()
         out += b"\r\nContent-Length: %d\r\n\r\n" % len(self.body)
         writer.write(out + self.body)
 
 
 @dataclasses.dataclass
-class Played:
-    """A gateway that runs, and the upstream behind it."""
+class RunningGateway:
+    """A running gateway and the upstream behind it."""
 
     app: app_lib.GatewayApp
-    upstream: Upstream
+    upstream: FakeUpstream
     tree: supervisor.Supervisor
     address: str
 
     def end_process(self) -> None:
-        """Does what the process's end does: what is unsent is lost."""
+        """Simulates the process's exit: unsent data is lost."""
         for connection in list(self.app.front.connections):
             connection.abort()
 
-    async def connect(self) -> "Caller":
+    async def connect(self) -> "FakeCaller":
         host, _, port = self.address.rpartition(":")
-        return Caller(*await asyncio.open_connection(host, int(port)))
+        return FakeCaller(*await asyncio.open_connection(host, int(port)))
 
 
-class Caller:
+class FakeCaller:
     """A caller's connection."""
 
     def __init__(
@@ -174,20 +176,20 @@
         self.reader = reader
         self.writer = writer
 
-    def ask(self, path: str, lines: str = "") -> None:
+    def send_request(self, path: str, header_lines: str = "") -> None:
         head = f"GET {path} HTTP/1.1\r\nHost: h\r\nRequest-Id: q\r\n"
-        self.writer.write(f"{head}{lines}\r\n".encode())
+        self.writer.write(f"{head}{header_lines}\r\n".encode())
 
     async def status(self) -> int | None:
-        """Returns the answer's status; None where the connection ended."""
+        """Returns the response's status; None if the connection ended."""
         try:
             head = await self.reader.readuntil(b"\r\n\r\n")
         except (asyncio.IncompleteReadError, OSError):
             return None
         return int(head.split(b" ")[1])
 
-    async def rest(self) -> bytes:
-        """Returns what came up to the end of the connection."""
+    async def read_to_end(self) -> bytes:
+        """Reads until the end of the connection."""
         pieces = []
         with contextlib.suppress(OSError):
             while piece := await self.reader.read(65536):
@@ -195,8 +197,8 @@
         return b"".join(pieces)
 
 
-class Held:
-    """A component whose stop takes until the test lets it go."""
+class SlowStopComponent:
+    """A component whose stop waits for the test."""
 
     is_vital = False
     name = "held"
@@ -213,28 +215,28 @@
         await self.may_stop.wait()
 
 
-async def until(condition) -> None:
-    """Waits for something that the test does not cause itself."""
-    async with asyncio.timeout(HANG_S):
+async def wait_until(condition) -> None:
+    """Polls until the condition holds."""
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 @contextlib.asynccontextmanager
-async def playing(
+async def running_gateway(
     *others, is_configured: bool = True, bounds: serving.Bounds | None = None
-) -> AsyncIterator[Played]:
-    upstream = Upstream()
+) -> AsyncIterator[RunningGateway]:
+    upstream = FakeUpstream()
     server = await asyncio.start_server(upstream.serve, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     instance = dataclasses.replace(INSTANCE, bounds=bounds or INSTANCE.bounds)
     app = app_lib.GatewayApp.from_config(
-        instance, program.adapter(), Unchanged(instance)
+        instance, program.adapter(), UnchangedSettings(instance)
     )
     app.components()
     tree = supervisor.Supervisor([app.front, *others])
     tree.start()
-    await until(lambda: app.front.address)
+    await wait_until(lambda: app.front.address)
     if is_configured:
         app.state.offer_configuration(CONFIGURATION)
         app.state.has_upstream_list = True
@@ -242,144 +244,144 @@
         app.state.directory.update_entry(
             entry, asyncio.get_running_loop().time()
         )
-    played = Played(app, upstream, tree, app.front.address)
-    async with asyncio.timeout(HANG_S):
-        yield played
-        played.end_process()
+    gateway = RunningGateway(app, upstream, tree, app.front.address)
+    async with asyncio.timeout(TEST_TIMEOUT_S):
+        yield gateway
+        gateway.end_process()
         await tree.stop()
         server.close()
 
 
 @pytest.fixture(autouse=True)
-def no_lag(monkeypatch):
-    """The balancer of these tests knows at once that an instance stops."""
+def without_balancer_lag(monkeypatch):
+    """Removes the wait for the load balancer from the drain."""
     monkeypatch.setattr(app_lib, "BALANCER_LAG_S", 0.0)
 
 
 @pytest.mark.parametrize("is_new", [False, True], ids=["kept", "new"])
-def test_after_the_drain_nothing_is_taken(is_new):
-    """A request in a planned stop was sent to an upstream and then cut off.
+def test_no_request_is_accepted_after_the_drain(is_new):
+    """A request accepted after the drain was sent upstream and then cut off.
 
-    The drain was over, and the parts of the process stopped one after the
-    other, the front door last: behind calls to the store that took a second.
-    Callers that came meanwhile were served as ever, until the process ended:
-    the drain looked once whether anything was open and closed no door.
+    After the drain the components stop one by one, some with store calls of a
+    second, and the listener stopped last. Requests that arrived meanwhile were
+    still forwarded, until the process exited.
     """
 
-    async def play():
-        held = Held()
-        async with playing(held) as played:
-            # Its answer has begun, so nothing tells it to use another one.
-            kept = await played.connect()
-            kept.ask("/stream/")
-            await played.upstream.arrived.wait()
+    async def run_scenario():
+        held = SlowStopComponent()
+        async with running_gateway(held) as gateway:
+            # Its response has begun, so it can't announce a close any more.
+            kept = await gateway.connect()
+            kept.send_request("/stream/")
+            await gateway.upstream.arrived.wait()
             assert await kept.status() == 200
-            drain = asyncio.create_task(played.app.drain())
-            await asyncio.wait([drain], timeout=MEANWHILE_S)
-            played.upstream.answers.set()
+            drain = asyncio.create_task(gateway.app.drain())
+            await asyncio.wait([drain], timeout=OBSERVE_S)
+            gateway.upstream.may_respond.set()
             await kept.reader.readuntil(b"\r\n0\r\n\r\n")
             await drain
-            stop = asyncio.create_task(played.tree.stop())
+            stop = asyncio.create_task(gateway.tree.stop())
             await held.is_stopping.wait()
             status = None
             try:
-                caller = await played.connect() if is_new else kept
-                caller.ask("/once/")
+                caller = await gateway.connect() if is_new else kept
+                caller.send_request("/once/")
                 status = await caller.status()
             except OSError:
                 assert is_new
             held.may_stop.set()
             await stop
-            return status, played.upstream.requests
+            return status, gateway.upstream.requests
 
-    status, requests = asyncio.run(play())
+    status, requests = asyncio.run(run_scenario())
     assert requests == [b"/stream/"]
     assert status in (None, 503)
 
 
 @pytest.mark.parametrize("is_at_end", [False, True], ids=["after lag", "end"])
-def test_a_request_that_waits_to_be_read_is_answered(is_at_end):
-    """A caller's request met a reset: it had arrived, but was not read yet.
+def test_a_request_not_yet_read_is_served(is_at_end):
+    """A request that had arrived but was not read yet met a reset.
 
-    The process was busy as its stop closed idle connections. Idle meant that
-    no byte of a request was parsed; bytes that waited in the socket were not
-    looked at, and the kernel resets a connection that is closed on them.
+    The drain closed connections that were idle, which meant that no byte of a
+    request had been parsed. Bytes in the socket buffer were ignored, and the
+    kernel resets a connection that is closed with unread data.
     """
 
-    async def play():
-        async with playing() as played:
-            played.upstream.answers.set()
-            caller = await played.connect()
-            caller.ask("/plain/")
+    async def run_scenario():
+        async with running_gateway() as gateway:
+            gateway.upstream.may_respond.set()
+            caller = await gateway.connect()
+            caller.send_request("/plain/")
             assert await caller.status() == 200
             await caller.reader.readexactly(4)
-            # Without a turn of the loop between the send and the close.
-            caller.ask("/plain/")
+            # The loop doesn't run between the send and the close.
+            caller.send_request("/plain/")
             if is_at_end:
-                await played.app.front.end(HANG_S)
+                await gateway.app.front.shut_down(TEST_TIMEOUT_S)
             else:
-                await played.app.drain()
+                await gateway.app.drain()
             return await caller.status()
 
-    assert asyncio.run(play()) == 200
+    assert asyncio.run(run_scenario()) == 200
 
 
-def test_an_answer_that_a_caller_reads_slowly_leaves_whole():
-    """A large answer was cut off in a planned stop, in the middle.
+def test_a_response_to_a_slow_caller_is_sent_completely():
+    """A large response to a caller on a slow link was cut off by a stop.
 
-    Its caller was on a slow link. The request counted as answered once the
-    last byte was in the process's own buffer; the drain, which counted open
-    requests, ended, the process with it, and the buffer never left.
+    The request counted as done once the last byte was in the write buffer.
+    The drain counted open requests only, so the process exited with the
+    buffer unsent.
     """
 
-    async def play():
-        async with playing() as played:
-            # More than the kernel's buffers take.
-            played.upstream.body = b"x" * 7_000_000
-            played.upstream.answers.set()
-            caller = await played.connect()
-            caller.ask("/plain/")
-            await played.upstream.arrived.wait()
-            await until(lambda: not played.app.forwarder.open_requests)
-            drain = asyncio.create_task(played.app.drain())
-            await asyncio.wait([drain], timeout=MEANWHILE_S)
-            reading = asyncio.create_task(caller.rest())
+    async def run_scenario():
+        async with running_gateway() as gateway:
+            # More than the kernel's socket buffers hold.
+            gateway.upstream.body = b"x" * 7_000_000
+            gateway.upstream.may_respond.set()
+            caller = await gateway.connect()
+            caller.send_request("/plain/")
+            await gateway.upstream.arrived.wait()
+            await wait_until(lambda: not gateway.app.forwarder.open_requests)
+            drain = asyncio.create_task(gateway.app.drain())
+            await asyncio.wait([drain], timeout=OBSERVE_S)
+            reading = asyncio.create_task(caller.read_to_end())
             await drain
-            played.end_process()
+            gateway.end_process()
             head, _, body = (await reading).partition(b"\r\n\r\n")
             return head, len(body)
 
-    head, size = asyncio.run(play())
+    head, size = asyncio.run(run_scenario())
     assert head.startswith(b"HTTP/1.1 200")
     assert size == 7_000_000
 
 
-def test_a_request_that_is_being_sent_is_awaited():
-    """A planned stop closed connections on callers that were sending.
+def test_the_drain_waits_for_a_partially_received_request():
+    """A stop closed the connection of a caller that was sending a request.
 
-    One had sent the head of its request and half of the body when the last
-    open request was answered. The drain looked at whole requests only, so the
-    process ended on this one.
+    The head and half of the body had been received when the last open request
+    ended. The drain counted complete requests only, so the process exited.
     """
 
-    async def play():
-        async with playing() as played:
-            played.upstream.answers.set()
-            caller = await played.connect()
+    async def run_scenario():
+        async with running_gateway() as gateway:
+            gateway.upstream.may_respond.set()
+            caller = await gateway.connect()
             caller.writer.write(
                 b"POST /once/ HTTP/1.1\r\nHost: h\r\nRequest-Id: q\r\n"
                 b"Content-Length: 4\r\n\r\nha"
             )
-            front = played.app.front
-            await until(lambda: any(not c.is_idle for c in front.connections))
-            drain = asyncio.create_task(played.app.drain())
-            await asyncio.wait([drain], timeout=MEANWHILE_S)
+            front = gateway.app.front
+            await wait_until(
+                lambda: any(not c.is_idle for c in front.connections)
+            )
+            drain = asyncio.create_task(gateway.app.drain())
+            await asyncio.wait([drain], timeout=OBSERVE_S)
             caller.writer.write(b"lf")
             status = await caller.status()
             await drain
             return status
 
-    assert asyncio.run(play()) == 200
+    assert asyncio.run(run_scenario()) == 200
 
 
 def with_grace(grace_s: float) -> serving.Bounds:
@@ -389,7 +391,7 @@
 @pytest.mark.parametrize(
     ("at_start", "at_signal", "in_drain", "status"),
     [
-        # Longer than at the start: the answer is waited for.
+        # Longer than at the start: the drain waits for the response.
         pytest.param(0.7, 600.0, 600.0, 200, id="longer before"),
         pytest.param(0.7, 0.9, 600.0, 200, id="longer in the drain"),
         # Shorter: the drain ends in time for the rest of the stop.
@@ -397,167 +399,171 @@
         pytest.param(600.0, 600.0, 0.7, None, id="shorter in the drain"),
     ],
 )
-def test_the_grace_in_force_bounds_the_drain(
+def test_the_current_grace_period_bounds_the_drain(
     at_start, at_signal, in_drain, status
 ):
-    """A process was killed in the middle of its drain, with all its callers.
+    """A process was killed during its drain, cutting off all its callers.
 
-    The settings file had named a shorter grace for some time, and the process
-    had taken it in; but the drain went by the settings of the start. With a
-    longer grace it broke requests off that had seconds left.
+    A shorter grace period had been reloaded, but the drain used that of the
+    start. After a longer one had been reloaded, the drain cut off requests
+    with seconds left.
     """
 
-    async def play():
-        async with playing(bounds=with_grace(at_start)) as played:
-            played.app.state.bounds = with_grace(at_signal)
-            caller = await played.connect()
-            caller.ask("/once/")
-            await played.upstream.arrived.wait()
-            drain = asyncio.create_task(played.app.drain())
+    async def run_scenario():
+        async with running_gateway(bounds=with_grace(at_start)) as gateway:
+            gateway.app.state.bounds = with_grace(at_signal)
+            caller = await gateway.connect()
+            caller.send_request("/once/")
+            await gateway.upstream.arrived.wait()
+            drain = asyncio.create_task(gateway.app.drain())
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            played.app.state.bounds = with_grace(in_drain)
+            gateway.app.state.bounds = with_grace(in_drain)
             if status is None:
                 await drain
                 return None
-            await asyncio.wait([drain], timeout=MEANWHILE_S)
+            await asyncio.wait([drain], timeout=OBSERVE_S)
             if drain.done():
-                played.end_process()
-            played.upstream.answers.set()
+                gateway.end_process()
+            gateway.upstream.may_respond.set()
             answered = await caller.status()
             await drain
             return answered
 
-    assert asyncio.run(play()) == status
+    assert asyncio.run(run_scenario()) == status
 
 
-def test_a_grace_shorter_than_the_balancers_lag_is_kept(monkeypatch):
-    """With a grace of 2 s a process was killed before its drain looked once.
+def test_a_grace_period_shorter_than_the_balancer_lag_is_kept(monkeypatch):
+    """With a grace period of 2 s a process was killed during its drain.
 
-    It slept for as long as the balancer needs to turn away, 2.6 s, however
-    short the grace.
+    It slept for the load balancer's lag of 2.6 s, however short the grace
+    period, before it checked for open requests.
     """
     monkeypatch.setattr(app_lib, "BALANCER_LAG_S", 500.0)
 
-    async def play():
-        async with playing(bounds=with_grace(0.7)) as played:
-            await played.app.drain()
+    async def run_scenario():
+        async with running_gateway(bounds=with_grace(0.7)) as gateway:
+            await gateway.app.drain()
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
 @pytest.mark.parametrize(
     ("path", "is_sent", "status"),
     [
-        # Sent nowhere: the caller may ask elsewhere, at once.
+        # Not sent: the caller may retry elsewhere at once.
         ("/once/", False, 503),
         ("/plain/", False, 503),
         ("/stream/", False, 503),
-        # It may have run, so nothing is promised.
+        # Sent: it may have run, and a 502 makes no promise.
         ("/once/", True, 502),
         ("/plain/", True, 502),
     ],
 )
-def test_what_is_open_at_the_graces_end_is_told_the_truth(
+def test_open_requests_get_a_truthful_status_at_the_end_of_the_grace_period(
     monkeypatch, path, is_sent, status
 ):
-    """A request that waited for its turn met a 500 as its instance stopped.
+    """A waiting request got a 500 when its instance stopped.
 
-    It had been sent nowhere, and its caller did not dare to ask elsewhere.
-    Nobody told requests of the grace's end: the end of the process cancelled
-    them, and each took that for a fault of ours.
+    It had not been sent, but a 500 doesn't say so, and its caller did not
+    retry. At the end of the grace period requests were only cancelled by the
+    process's exit, which each handled as an internal error.
     """
 
     async def never(*_):
         await asyncio.Event().wait()
 
     if not is_sent:
-        monkeypatch.setattr(connection_pool_lib.ConnectionPool, "take", never)
+        monkeypatch.setattr(
+            connection_pool_lib.ConnectionPool, "acquire", never
+        )
 
-    async def play():
-        async with playing(bounds=with_grace(0.9)) as played:
-            caller = await played.connect()
-            caller.ask(path)
-            await until(lambda: played.app.forwarder.open_requests)
+    async def run_scenario():
+        async with running_gateway(bounds=with_grace(0.9)) as gateway:
+            caller = await gateway.connect()
+            caller.send_request(path)
+            await wait_until(lambda: gateway.app.forwarder.open_requests)
             if is_sent:
-                await played.upstream.arrived.wait()
-            await played.app.drain()
-            played.end_process()
+                await gateway.upstream.arrived.wait()
+            await gateway.app.drain()
+            gateway.end_process()
             return await caller.status()
 
-    assert asyncio.run(play()) == status
+    assert asyncio.run(run_scenario()) == status
 
 
-def test_a_request_of_the_very_last_moment_is_refused(monkeypatch):
-    """The end of a drain came between a request's arrival and its first step.
+def test_a_request_that_arrives_during_shut_down_is_refused(monkeypatch):
+    """A drain ended between a request's arrival and its task's first step.
 
-    A task that is cancelled before its first step never runs at all, so
-    nobody answered the caller.
+    A task that is cancelled before its first step never runs, so the caller
+    got no response.
     """
     handle = forwarder_lib.Forwarder.handle
 
     def handle_and_end(self, request, response_writer) -> None:
         handle(self, request, response_writer)
         self.stop = stopping.Stop(0.0, math.inf)
-        self.end()
+        self.shut_down()
 
     monkeypatch.setattr(forwarder_lib.Forwarder, "handle", handle_and_end)
 
-    async def play():
-        async with playing() as played:
-            caller = await played.connect()
-            caller.ask("/plain/")
-            return await caller.status(), played.upstream.requests
+    async def run_scenario():
+        async with running_gateway() as gateway:
+            caller = await gateway.connect()
+            caller.send_request("/plain/")
+            return await caller.status(), gateway.upstream.requests
 
-    assert asyncio.run(play()) == (503, [])
+    assert asyncio.run(run_scenario()) == (503, [])
 
 
-def test_a_stream_that_the_grace_cuts_does_not_look_complete():
-    """A stream that outlasts its instance's grace ends without its end."""
+def test_a_stream_cut_off_by_the_grace_period_does_not_look_complete():
+    """A stream that outlasts the grace period has no final chunk."""
 
-    async def play():
-        async with playing(bounds=with_grace(0.9)) as played:
-            caller = await played.connect()
-            caller.ask("/stream/")
+    async def run_scenario():
+        async with running_gateway(bounds=with_grace(0.9)) as gateway:
+            caller = await gateway.connect()
+            caller.send_request("/stream/")
             assert await caller.status() == 200
-            await played.app.drain()
-            played.end_process()
-            return await caller.rest()
+            await gateway.app.drain()
+            gateway.end_process()
+            return await caller.read_to_end()
 
-    received = asyncio.run(play())
+    received = asyncio.run(run_scenario())
     assert EVENTS in received
     assert not received.endswith(b"0\r\n\r\n")
 
 
-def test_half_a_request_at_the_graces_end_is_refused():
-    """A caller sent its request too slowly for the rest of a planned stop.
+def test_a_partial_request_at_the_end_of_the_grace_period_is_refused():
+    """A request that was still being received at the exit met a reset.
 
-    Its connection broke, though nothing of the request was used. Half of a
-    request is nobody's in a drain: it is no open request yet.
+    It had not run, but the drain ended open requests only, and a partial
+    request is not one yet.
     """
 
-    async def play():
-        async with playing(bounds=with_grace(0.9)) as played:
-            caller = await played.connect()
+    async def run_scenario():
+        async with running_gateway(bounds=with_grace(0.9)) as gateway:
+            caller = await gateway.connect()
             caller.writer.write(b"POST /once/ HTTP/1.1\r\nHost: h\r\n")
-            front = played.app.front
-            await until(lambda: any(not c.is_idle for c in front.connections))
-            await played.app.drain()
-            played.end_process()
+            front = gateway.app.front
+            await wait_until(
+                lambda: any(not c.is_idle for c in front.connections)
+            )
+            await gateway.app.drain()
+            gateway.end_process()
             return await caller.status()
 
-    assert asyncio.run(play()) == 503
+    assert asyncio.run(run_scenario()) == 503
 
 
 @pytest.mark.parametrize("grace_s", [2.0, 4.0, 8.0])
-def test_a_stop_ends_in_its_grace_while_the_store_is_silent(
+def test_a_stop_keeps_its_grace_period_while_the_store_is_unresponsive(
     monkeypatch, grace_s
 ):
-    """A process was killed at its grace's end, in the middle of its stop.
+    """A process was killed at the end of its grace period, while stopping.
 
-    Its drain had used the grace up to the margin, and the store was silent:
-    the lease's release waited 1 s for an answer, the registration's end half
-    a second more. The margin is 0.6 s.
+    The drain had used the grace period up to the margin of 0.6 s, and the
+    store was unresponsive: the lease release waited 1 s for a response, the
+    deregistration another half second.
     """
 
     async def silent(*_, **__):
@@ -568,10 +574,10 @@
     monkeypatch.setattr(forwarder_lib.Forwarder, "open_requests", 1)
     instance = dataclasses.replace(INSTANCE, bounds=with_grace(grace_s))
 
-    async def play() -> float:
+    async def run_scenario() -> float:
         loop = asyncio.get_running_loop()
         app = app_lib.GatewayApp.from_config(
-            instance, program.adapter(), Unchanged(instance)
+            instance, program.adapter(), UnchangedSettings(instance)
         )
         components = app.components()
         me = fm.Member("front-1", 1, "z1", "127.0.0.1:1", -1, -1)
@@ -587,235 +593,240 @@
         return loop.time() - begun_s
 
     with asyncio.Runner(loop_factory=jumping_loop.JumpingLoop) as runner:
-        assert runner.run(play()) <= grace_s
+        assert runner.run(run_scenario()) <= grace_s
 
 
-def test_a_stop_before_the_first_configuration_is_a_stop_as_any():
-    """An instance that is stopped in its start refuses and ends in order."""
+def test_a_stop_before_the_first_configuration_drains():
+    """An instance without a configuration refuses requests and drains."""
 
-    async def play():
-        async with playing(is_configured=False) as played:
-            caller = await played.connect()
-            drain = asyncio.create_task(played.app.drain())
+    async def run_scenario():
+        async with running_gateway(is_configured=False) as gateway:
+            caller = await gateway.connect()
+            drain = asyncio.create_task(gateway.app.drain())
             await asyncio.sleep(0)
-            caller.ask("/plain/")
+            caller.send_request("/plain/")
             status = await caller.status()
             await drain
             return status
 
-    assert asyncio.run(play()) == 503
+    assert asyncio.run(run_scenario()) == 503
 
 
-def test_a_stop_in_the_moment_of_the_start_ends():
-    """No part has taken its first step when the signal's event is seen."""
+def test_a_stop_during_the_start_ends():
+    """The signal is seen before any component has taken its first step."""
 
-    async def play():
+    async def run_scenario():
         app = app_lib.GatewayApp.from_config(
-            INSTANCE, program.adapter(), Unchanged(INSTANCE)
+            INSTANCE, program.adapter(), UnchangedSettings(INSTANCE)
         )
         tree = supervisor.Supervisor(app.components()[:1])
         tree.start()
-        async with asyncio.timeout(HANG_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await app.drain()
             await tree.stop()
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_new_settings_in_a_drain_change_it_and_end_nothing():
-    """Settings change, and a signal says so, while an instance drains."""
+def test_new_settings_take_effect_in_a_drain_without_ending_it():
+    """Settings are reloaded on a signal while an instance drains."""
 
-    async def play():
-        async with playing() as played:
-            app = played.app
-            caller = await played.connect()
-            caller.ask("/once/")
-            await played.upstream.arrived.wait()
+    async def run_scenario():
+        async with running_gateway() as gateway:
+            app = gateway.app
+            caller = await gateway.connect()
+            caller.send_request("/once/")
+            await gateway.upstream.arrived.wait()
             drain = asyncio.create_task(app.drain())
             await asyncio.sleep(0)
             app.reload()
             app.state.apply_settings(
                 dataclasses.replace(INSTANCE, bounds=with_grace(500.0))
             )
-            await asyncio.wait([drain], timeout=MEANWHILE_S)
-            played.upstream.answers.set()
+            await asyncio.wait([drain], timeout=OBSERVE_S)
+            gateway.upstream.may_respond.set()
             status = await caller.status()
             await drain
             return status
 
-    assert asyncio.run(play()) == 200
+    assert asyncio.run(run_scenario()) == 200
 
 
-def test_a_route_that_goes_does_not_end_its_requests():
-    """Configurations take a route away, and its upstream, under a request.
+def test_a_removed_route_does_not_end_its_requests():
+    """A route, its service and its upstream are removed during a request.
 
-    The route, its service and the upstream's entry all go while the answer
-    is awaited; the answer is delivered, and the next request finds no route.
+    The response is still delivered, and the next request finds no route.
     """
 
-    async def play():
-        async with playing() as played:
-            state = played.app.state
-            caller = await played.connect()
-            caller.ask("/once/")
-            await played.upstream.arrived.wait()
+    async def run_scenario():
+        async with running_gateway() as gateway:
+            state = gateway.app.state
+            caller = await gateway.connect()
+            caller.send_request("/once/")
+            await gateway.upstream.arrived.wait()
             state.offer_configuration(
                 dataclasses.replace(
                     CONFIGURATION, version=2, routes=(), services={}
                 )
             )
             state.directory.lapse_unlisted((), -1000.0)
-            swept = state.directory.remove_lapsed(
+            removed = state.directory.remove_lapsed(
                 asyncio.get_running_loop().time()
             )
             for known in state.directory:
-                played.app.connection_pool.drop(known.entry.address)
-            played.upstream.answers.set()
+                gateway.app.connection_pool.close_idle(known.entry.address)
+            gateway.upstream.may_respond.set()
             first = await caller.status()
             await caller.reader.readexactly(4)
-            caller.ask("/once/")
-            return first, await caller.status(), swept
+            caller.send_request("/once/")
+            return first, await caller.status(), removed
 
-    assert asyncio.run(play()) == (200, 404, [])
+    assert asyncio.run(run_scenario()) == (200, 404, [])
 
 
 def test_a_stream_that_ends_at_a_slow_caller_leaves_its_connection_usable(
     monkeypatch,
 ):
-    """A request got no answer until its timeout, from an upstream at ease.
+    """A request to an idle upstream got no response until its timeout.
 
-    The stream before it on that connection had a slow caller, so reading the
-    upstream was paused, in the very read that held the stream's end. The
-    connection went back to the kept ones as it was, and nobody read on it.
+    The previous stream on that connection had a slow caller, so reading from
+    the upstream was paused during the read that contained the stream's end.
+    The connection was returned to the pool with reading still paused.
     """
-    write = front_lib.FrontConnection.write
+    write = server_connection.ServerConnection.write
 
     def write_slowly(self, data: bytes) -> None:
         write(self, data)
-        # As a transport whose buffer is full.
+        # Like a transport whose write buffer is full.
         self.pause_writing()
 
-    monkeypatch.setattr(front_lib.FrontConnection, "write", write_slowly)
+    monkeypatch.setattr(
+        server_connection.ServerConnection, "write", write_slowly
+    )
 
-    async def play():
-        async with playing() as played:
-            played.upstream.answers.set()
-            caller = await played.connect()
-            caller.ask("/stream/")
+    async def run_scenario():
+        async with running_gateway() as gateway:
+            gateway.upstream.may_respond.set()
+            caller = await gateway.connect()
+            caller.send_request("/stream/")
             assert await caller.status() == 200
             await caller.reader.readuntil(b"\r\n0\r\n\r\n")
-            caller.ask("/plain/")
-            return await caller.status(), played.app.connection_pool.opened
+            caller.send_request("/plain/")
+            return (
+                await caller.status(),
+                gateway.app.connection_pool.opened_count,
+            )
 
-    assert asyncio.run(play()) == (200, 1)
+    assert asyncio.run(run_scenario()) == (200, 1)
 
 
 def test_a_request_that_waited_too_long_in_a_stop_is_not_sent(monkeypatch):
-    """A stream was cut off at its instance's end, some seconds after its begin.
+    """A stream was cut off by its instance's exit, seconds after it began.
 
-    Its request had come before the stop and waited for its model. As the model
-    was there, too little of the grace was left for so many tokens; that was
-    only looked at as a request arrived, and an engine began on what the kill
-    would cut off.
+    Its request had arrived before the stop and waited for its model. When the
+    model was loaded, too little of the grace period was left to generate so
+    many tokens, but that was checked only when a request arrived.
     """
     monkeypatch.setattr(stopping, "ACCEPT_ALL_S", 0.0)
     found = asyncio.Event()
 
-    async def play():
-        async with playing(bounds=with_grace(20.0)) as played:
-            known = next(iter(played.app.state.directory))
+    async def run_scenario():
+        async with running_gateway(bounds=with_grace(20.0)) as gateway:
+            known = next(iter(gateway.app.state.directory))
 
             async def find(*_):
                 await found.wait()
                 return known
 
             monkeypatch.setattr(engine_search.EngineSearch, "find", find)
-            caller = await played.connect()
+            caller = await gateway.connect()
             # 1,500 tokens take half a minute, and the grace is 20 s.
-            caller.ask("/model/", "Model: m\r\nToken-Usage: 800,1500\r\n")
-            await until(lambda: played.app.forwarder.open_requests)
-            drain = asyncio.create_task(played.app.drain())
+            caller.send_request(
+                "/model/", "Model: m\r\nToken-Usage: 800,1500\r\n"
+            )
+            await wait_until(lambda: gateway.app.forwarder.open_requests)
+            drain = asyncio.create_task(gateway.app.drain())
             await asyncio.sleep(0)
             found.set()
             status = await caller.status()
-            played.end_process()
+            gateway.end_process()
             await drain
-            return status, played.upstream.requests
+            return status, gateway.upstream.requests
 
-    assert asyncio.run(play()) == (503, [])
+    assert asyncio.run(run_scenario()) == (503, [])
 
 
 @pytest.mark.parametrize("path", ["/model/", "/plain/"])
-def test_a_route_without_targets_is_refused_with_a_time(path):
-    """Callers of a model's route that goes nowhere got a 500.
+def test_a_route_without_targets_is_refused_with_retry_after(path):
+    """Callers of a model route without targets got a 500.
 
-    Operators had declared a route without service, or with weights of nothing.
-    The demand for a model is counted for the first target's service, and
-    there was none: an IndexError. A 500 promises nothing, so callers did not
-    try again what must run once, though it had run nowhere.
+    Operators had declared a route without a service, or with weights of zero.
+    Model demand is counted for the first target's service, which raised an
+    IndexError. A 500 doesn't say that the request has not run, so callers did
+    not retry requests that must run at most once.
     """
 
-    async def play():
-        async with playing() as played:
+    async def run_scenario():
+        async with running_gateway() as gateway:
             routes = tuple(
                 dataclasses.replace(one, targets=())
                 for one in CONFIGURATION.routes
             )
             newer = dataclasses.replace(CONFIGURATION, version=2, routes=routes)
-            played.app.state.offer_configuration(newer)
-            caller = await played.connect()
-            caller.ask(path, "Model: m\r\nToken-Usage: 800,15\r\n")
+            gateway.app.state.offer_configuration(newer)
+            caller = await gateway.connect()
+            caller.send_request(path, "Model: m\r\nToken-Usage: 800,15\r\n")
             head = await caller.reader.readuntil(b"\r\n\r\n")
-            return head, played.upstream.requests
+            return head, gateway.upstream.requests
 
-    head, requests = asyncio.run(play())
+    head, requests = asyncio.run(run_scenario())
     assert head.startswith(b"HTTP/1.1 503 ")
     assert b"retry-after: " in head.lower()
     assert requests == []
 
 
-def test_a_connection_that_never_asks_ends_in_order():
-    """A caller that connects in a stop and asks nothing sees a plain end."""
+def test_an_idle_connection_in_a_drain_is_closed_gracefully():
+    """A caller that connects in a drain and sends nothing sees no reset."""
 
-    async def play():
-        async with playing() as played:
-            first = await played.connect()
-            first.ask("/once/")
-            await played.upstream.arrived.wait()
-            drain = asyncio.create_task(played.app.drain())
-            await asyncio.wait([drain], timeout=MEANWHILE_S)
-            silent = await played.connect()
-            played.upstream.answers.set()
+    async def run_scenario():
+        async with running_gateway() as gateway:
+            first = await gateway.connect()
+            first.send_request("/once/")
+            await gateway.upstream.arrived.wait()
+            drain = asyncio.create_task(gateway.app.drain())
+            await asyncio.wait([drain], timeout=OBSERVE_S)
+            silent = await gateway.connect()
+            gateway.upstream.may_respond.set()
             assert await first.status() == 200
             await drain
             # Raises where the connection was reset.
             return await silent.reader.read()
 
-    assert asyncio.run(play()) == b""
+    assert asyncio.run(run_scenario()) == b""
 
 
 @pytest.mark.parametrize("grace_s", [2.0, 3.0, 8.0])
-def test_open_requests_have_the_grace_up_to_its_last_sixth(
+def test_open_requests_have_the_grace_period_up_to_its_last_sixth(
     monkeypatch, grace_s
 ):
-    """With a grace of 2 s a stream was cut off 0.6 s before its time was over.
+    """With a grace period of 2 s a stream was cut off 0.6 s too early.
 
-    What an upstream is still at work on in the last sixth of the grace may
-    end with the process. The margin for the process's own end was the same
-    for any grace, and larger than that sixth where the grace is short.
+    Requests may end with the process only in the last sixth of the grace
+    period. The margin for the process's exit was the same for any grace
+    period, and exceeded that sixth of a short one.
     """
     monkeypatch.setattr(forwarder_lib.Forwarder, "open_requests", 1)
-    ended_s = []
+    shutdown_times_s = []
     monkeypatch.setattr(
         forwarder_lib.Forwarder,
-        "end",
-        lambda self: ended_s.append(asyncio.get_running_loop().time()),
+        "shut_down",
+        lambda self: shutdown_times_s.append(asyncio.get_running_loop().time()),
     )
     instance = dataclasses.replace(INSTANCE, bounds=with_grace(grace_s))
 
-    async def play() -> float:
+    async def run_scenario() -> float:
         app = app_lib.GatewayApp.from_config(
-            instance, program.adapter(), Unchanged(instance)
+            instance, program.adapter(), UnchangedSettings(instance)
         )
         app.components()
         begun_s = asyncio.get_running_loop().time()
@@ -823,24 +834,24 @@
         return begun_s
 
     with asyncio.Runner(loop_factory=jumping_loop.JumpingLoop) as runner:
-        begun_s = runner.run(play())
-    share = (ended_s[0] - begun_s) / grace_s
+        begun_s = runner.run(run_scenario())
+    share = (shutdown_times_s[0] - begun_s) / grace_s
     assert 5 / 6 <= share < 1
 
 
-def test_a_taken_port_of_the_metrics_ends_no_instance():
-    """An instance ended at each start: another program had its metrics' port.
+def test_a_metrics_port_in_use_does_not_end_the_process():
+    """A process exited at each start as its metrics port was in use.
 
-    All that listens was vital, also what only metrics are read from, and the
-    failure of a vital part ends the process with all its callers' streams.
+    All listeners were vital, the metrics listener too, and the failure of a
+    vital component ends the process with all its callers' streams.
     """
 
-    async def play() -> bool:
-        taken = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
-        port = taken.sockets[0].getsockname()[1]
+    async def run_scenario() -> bool:
+        occupied = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
+        port = occupied.sockets[0].getsockname()[1]
         adapter = dataclasses.replace(program.adapter(), metrics_port=port)
         app = app_lib.GatewayApp.from_config(
-            INSTANCE, adapter, Unchanged(INSTANCE)
+            INSTANCE, adapter, UnchangedSettings(INSTANCE)
         )
         listeners = [
             one
@@ -850,34 +861,35 @@
         tree = supervisor.Supervisor(listeners)
         tree.start()
         failed = asyncio.create_task(tree.failed())
-        await until(lambda: app.front.address)
-        # The metrics' listener fails in the same turns in which the front
-        # gets its port.
+        await wait_until(lambda: app.front.address)
+        # The metrics listener fails in the same loop iterations in which the
+        # front listener binds its port.
         for _ in range(20):
             await asyncio.sleep(0)
-        ended = failed.done()
+        has_failed = failed.done()
         failed.cancel()
         await tree.stop()
-        taken.close()
-        return ended
+        occupied.close()
+        return has_failed
 
-    assert not asyncio.run(play())
+    assert not asyncio.run(run_scenario())
 
 
-def test_a_stop_before_anybody_was_served_waits_for_nobody(monkeypatch):
-    """An instance whose port was taken ended three seconds later than it could.
+def test_a_stop_before_the_listener_opened_does_not_wait(monkeypatch):
+    """An instance whose port was in use exited three seconds later than needed.
 
-    It waited out the balancer's lag, as in any stop, though its front door had
-    never opened. So its next start, which might have got the port, came later.
+    It waited for the load balancer's lag, as in any stop, although its
+    listener had never opened. That delayed the next start, which might have
+    found the port free.
     """
     monkeypatch.setattr(app_lib, "BALANCER_LAG_S", 500.0)
 
-    async def play():
+    async def run_scenario():
         app = app_lib.GatewayApp.from_config(
-            INSTANCE, program.adapter(), Unchanged(INSTANCE)
+            INSTANCE, program.adapter(), UnchangedSettings(INSTANCE)
         )
         app.components()
-        async with asyncio.timeout(HANG_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await app.drain()
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
--- a/sesamecross/gateway/attempt.py
+++ b/sesamecross/gateway/attempt.py
@@ -1,10 +1,10 @@
-"""One send of a request to one upstream, and how it ended.
+"""Receives the response to one attempt at an upstream and classifies it.
 
-Why: what may follow depends on exactly what is known of the attempt, so each
-way in which an answer can come, fail to come, or come wrong ends in one typed
-outcome. A whole answer is held until it is complete: one that is cut short
-must not look complete to the caller. Events of a stream are passed on one by
-one as they arrive, and only whole ones.
+Retries depend on what is known about the attempt, so every way in which a
+response can succeed, fail or be invalid maps to one outcome type. A response
+that is not a stream is buffered until it is complete, so that a truncated one
+never looks complete to the caller. Stream events are forwarded as they
+arrive, complete events only.
 """
 
 import asyncio
@@ -15,13 +15,13 @@
 from sesamecross.ops.fleet import retry_policy
 from sesamecross.ports import http_codec as http_codec_lib
 
-# An answer that is held whole; services answer with kilobytes.
-ANSWER_MOST_BYTES = 8 * 1024 * 1024
+# Limit of a buffered response; services respond with kilobytes.
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CompleteResponse:
-    """A whole answer, proved to be the upstream's own."""
+    """A complete response; a 2xx one carries the upstream's signature."""
 
     status: int
     headers: tuple[serving.Header, ...]
@@ -30,26 +30,30 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamCompleted:
-    """A stream that came to its end and was passed on."""
+    """A stream that ended normally; its events have been forwarded."""
 
 
 Outcome = CompleteResponse | StreamCompleted | retry_policy.Failure
 
 
 class Attempt:
-    """Receives the answer of one send. `ended` bears the outcome."""
+    """Response receiver of one attempt.
+
+    Attributes:
+      outcome_future: Resolves to the attempt's outcome.
+    """
 
     __slots__ = (
-        "ended",
+        "outcome_future",
         "_http_codec",
         "_request_id",
         "_instance_id",
         "_relay",
         "_status",
         "_headers",
-        "_said",
-        "_pieces",
-        "_size",
+        "_head_info",
+        "_chunks",
+        "_body_size",
         "_is_stream",
     )
 
@@ -62,77 +66,85 @@
         http_codec: http_codec_lib.HttpCodec,
     ):
         self._http_codec = http_codec
-        self.ended: asyncio.Future[Outcome] = loop.create_future()
+        self.outcome_future: asyncio.Future[Outcome] = loop.create_future()
         self._request_id = request_id
         self._instance_id = instance_id
         self._relay = relay
         self._status = 0
         self._headers: tuple[serving.Header, ...] = ()
-        self._said: http_codec_lib.ResponseHead | None = None
-        self._pieces: list[bytes] = []
-        self._size = 0
+        self._head_info: http_codec_lib.ResponseHead | None = None
+        self._chunks: list[bytes] = []
+        self._body_size = 0
         self._is_stream = False
 
     def on_head(self, status: int, headers: list[serving.Header]) -> bool:
-        """Takes the head, unless it belongs to another request."""
-        said = self._http_codec.parse_response_head(status, headers)
-        is_nameless = not said.request_id and said.was_not_executed
-        if said.request_id != self._request_id and not is_nameless:
+        """Accepts the head, or returns False if it is for another request."""
+        head_info = self._http_codec.parse_response_head(status, headers)
+        lacks_request_id = (
+            not head_info.request_id and head_info.was_not_executed
+        )
+        if head_info.request_id != self._request_id and not lacks_request_id:
             return False
         self._status = status
         self._headers = tuple(headers)
-        self._said = said
-        is_good = 200 <= status < 300
-        if is_good and (said.is_encoded or not said.has_signature):
-            self._settle(retry_policy.Lost("a success without its proof"))
-        elif is_good and self._relay is not None and said.is_event_stream:
+        self._head_info = head_info
+        is_success = 200 <= status < 300
+        if is_success and (head_info.is_encoded or not head_info.has_signature):
+            self._set_outcome(
+                retry_policy.Lost("success response encoded or unsigned")
+            )
+        elif (
+            is_success and self._relay is not None and head_info.is_event_stream
+        ):
             self._is_stream = True
-            self._relay.begin_run(status, self._headers)
+            self._relay.begin_stream(status, self._headers)
         return True
 
     def on_body(self, data: bytes) -> None:
-        """Takes a piece of the answer."""
-        if self.ended.done():
+        """Buffers body data, or forwards the events of a stream."""
+        if self.outcome_future.done():
             return
         if self._is_stream:
             try:
                 self._relay.feed(data)
             except event_relay.InvalidEvent as error:
-                self._settle(retry_policy.Lost(str(error)))
+                self._set_outcome(retry_policy.Lost(str(error)))
             return
-        self._size += len(data)
-        if self._size > ANSWER_MOST_BYTES:
-            self._settle(retry_policy.Lost("the answer is too large"))
+        self._body_size += len(data)
+        if self._body_size > MAX_RESPONSE_BYTES:
+            self._set_outcome(retry_policy.Lost("response too large"))
         else:
-            self._pieces.append(data)
+            self._chunks.append(data)
 
     def on_end(self) -> None:
-        """The answer is complete."""
+        """Handles the end of the response."""
         if self._is_stream:
-            if self._relay.is_between_events:
-                self._settle(StreamCompleted())
+            if self._relay.is_at_event_boundary:
+                self._set_outcome(StreamCompleted())
             else:
-                self._settle(retry_policy.Lost("the stream ended in an event"))
+                self._set_outcome(
+                    retry_policy.Lost("stream ended within an event")
+                )
             return
-        self._settle(self._whole())
+        self._set_outcome(self._complete_outcome())
 
-    def _whole(self) -> Outcome:
-        said = self._said
-        if said.was_not_executed:
-            is_here = said.instance_id in ("", self._instance_id)
+    def _complete_outcome(self) -> Outcome:
+        head_info = self._head_info
+        if head_info.was_not_executed:
+            is_here = head_info.instance_id in ("", self._instance_id)
             return retry_policy.NotRun(
                 self._status,
-                is_absent=said.is_misdirected and is_here,
-                is_other=said.is_misdirected and not is_here,
+                is_absent=head_info.is_misdirected and is_here,
+                is_other=head_info.is_misdirected and not is_here,
             )
         return CompleteResponse(
-            self._status, self._headers, b"".join(self._pieces)
+            self._status, self._headers, b"".join(self._chunks)
         )
 
-    def on_broken(self, reason: str) -> None:
-        """The answer will never be complete."""
-        self._settle(retry_policy.Lost(reason))
+    def on_failure(self, reason: str) -> None:
+        """Handles a response that will never be complete."""
+        self._set_outcome(retry_policy.Lost(reason))
 
-    def _settle(self, outcome: Outcome) -> None:
-        if not self.ended.done():
-            self.ended.set_result(outcome)
+    def _set_outcome(self, outcome: Outcome) -> None:
+        if not self.outcome_future.done():
+            self.outcome_future.set_result(outcome)
--- a/sesamecross/gateway/client_connection.py
+++ b/sesamecross/gateway/client_connection.py
@@ -1,9 +1,9 @@
-"""One HTTP/1.1 connection to an upstream or to the store, on asyncio.
+"""HTTP/1.1 client connection to an upstream or to the store, on asyncio.
 
-Why: an answer that is cut short, has a strange byte, or belongs to another
-request must never look like a good one. The connection gives each answer to
-one receiver, tells exactly how it ended, and says whether another request
-may follow on it. Parsing is `httptools`'.
+A response that is truncated, malformed or meant for another request must
+never pass as valid. The connection delivers each response to one receiver,
+reports how it ended, and tells whether it can be reused. `httptools` does the
+parsing.
 """
 
 import asyncio
@@ -15,32 +15,32 @@
 
 from sesamecross.core import serving
 
-# After this many answers that belong to other requests, the connection is
-# given up: an upstream that goes on like this is not answering ours.
-_STRANGE_ANSWERS_MOST = 4
-_STATUS_CONTINUE_END = 200
-# Probes on a connection where nothing moves: a peer that lost power or was
-# cut off shows after about 3 s, and not at the end of a long wait.
-_PROBE_IDLE_S = 1
-_PROBE_EVERY_S = 1
-_PROBES = 2
+# The connection is closed after more responses to other requests than this:
+# the upstream is not going to respond to the current one.
+_MAX_MISMATCHED_RESPONSES = 4
+_FIRST_FINAL_STATUS = 200
+# TCP keepalive: a peer that lost power or network is detected after about 3 s
+# without traffic instead of at the end of a long wait.
+_KEEPALIVE_IDLE_S = 1
+_KEEPALIVE_INTERVAL_S = 1
+_KEEPALIVE_PROBES = 2
 _USER_TIMEOUT_MS = 3000
 
 
 class ResponseReceiver(Protocol):
-    """Who gets an answer, piece by piece."""
+    """Callbacks for one response."""
 
     def on_head(self, status: int, headers: list[serving.Header]) -> bool:
-        """Takes the head; returns False if the answer isn't its own."""
+        """Handles the head; returns False if it is for another request."""
 
     def on_body(self, data: bytes) -> None:
-        """Takes a piece of the body."""
+        """Handles a part of the body."""
 
     def on_end(self) -> None:
-        """The answer is complete."""
+        """Handles the end of a complete response."""
 
-    def on_broken(self, reason: str) -> None:
-        """The answer will never be complete."""
+    def on_failure(self, reason: str) -> None:
+        """Handles a response that will never be complete."""
 
 
 def encode_request(
@@ -49,7 +49,7 @@
     headers: list[serving.Header],
     body: bytes,
 ) -> bytes:
-    """Returns a request with a length, whatever framing it came in."""
+    """Encodes a request with a content length; the body is never chunked."""
     lines = [method + b" " + target + b" HTTP/1.1"]
     lines.extend(name + b": " + value for name, value in headers)
     if body or method not in (b"GET", b"HEAD", b"DELETE"):
@@ -58,16 +58,16 @@
 
 
 def enable_keepalive(sock: socket.socket) -> None:
-    """Makes the kernel find out when the other end is silently gone.
+    """Enables TCP keepalive and the TCP user timeout.
 
-    A connection can go silent without a reset when the other machine loses
-    power or a partition drops its state; only probes show it.
+    When the peer's machine loses power or a partition drops the connection's
+    state, no reset arrives; only probes detect it.
     """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     tcp = socket.IPPROTO_TCP
-    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, _PROBE_IDLE_S)
-    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, _PROBE_EVERY_S)
-    sock.setsockopt(tcp, socket.TCP_KEEPCNT, _PROBES)
+    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
     sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS)
 
 
@@ -75,130 +75,132 @@
     """A connection that carries one request at a time.
 
     Attributes:
-      requests: How many requests were sent on it.
-      idle_since_s: Loop time of the end of the last answer.
-      keep_s: How long the other side keeps it open while idle, by its word.
+      request_count: Number of requests sent on it.
+      idle_since_s: Loop time at which the last response ended.
+      keep_alive_s: How long the server keeps it open while idle, from its
+        keep-alive header; None if not given.
+      on_lost: Called when the connection is closed.
     """
 
     __slots__ = (
-        "requests",
+        "request_count",
         "idle_since_s",
-        "keep_s",
+        "keep_alive_s",
         "on_lost",
         "_loop",
         "_transport",
         "_parser",
         "_receiver",
         "_headers",
-        "_is_ours",
-        "_strange",
-        "_is_framed",
+        "_is_accepted",
+        "_mismatched_responses",
+        "_has_framing",
         "_has_head",
-        "_is_spoilt",
+        "_is_unusable",
         "_is_complete",
     )
 
     def __init__(self, loop: asyncio.AbstractEventLoop):
-        self.requests = 0
+        self.request_count = 0
         self.idle_since_s = loop.time()
-        self.keep_s: float | None = None
+        self.keep_alive_s: float | None = None
         self.on_lost: Callable[[ClientConnection], None] | None = None
         self._loop = loop
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._receiver: ResponseReceiver | None = None
         self._headers: list[serving.Header] = []
-        self._is_ours = False
-        self._strange = 0
-        self._is_framed = False
+        self._is_accepted = False
+        self._mismatched_responses = 0
+        self._has_framing = False
         self._has_head = False
-        self._is_spoilt = False
+        self._is_unusable = False
         self._is_complete = False
 
     @property
-    def is_open(self) -> bool:
-        """Whether a request may be sent now."""
+    def is_available(self) -> bool:
+        """Whether a request can be sent now."""
         return (
             self._transport is not None
-            and not self._is_spoilt
+            and not self._is_unusable
             and self._receiver is None
             and not self._transport.is_closing()
         )
 
     def send(self, data: bytes, receiver: ResponseReceiver) -> None:
-        """Sends a request; its answer goes to `receiver`."""
+        """Sends a request; its response goes to `receiver`."""
         self._receiver = receiver
-        self._strange = 0
+        self._mismatched_responses = 0
         self._has_head = False
         self._is_complete = False
-        self.requests += 1
+        self.request_count += 1
         self._transport.write(data)
 
     def pause(self) -> None:
-        """Stops reading: the answer's reader is slow."""
+        """Pauses reading while the response's consumer is slow."""
         if self._transport is not None:
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Reads on."""
+        """Resumes reading."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
 
     def abort(self) -> None:
-        """Ends the connection at once; the receiver hears no more."""
+        """Closes the connection at once; the receiver is not called again."""
         self._receiver = None
-        self._is_spoilt = True
+        self._is_unusable = True
         if self._transport is not None:
             self._transport.abort()
 
     def close(self) -> None:
-        """Ends an idle connection in order."""
+        """Closes an idle connection gracefully."""
         self._receiver = None
-        self._is_spoilt = True
+        self._is_unusable = True
         if self._transport is not None:
             self._transport.close()
 
     # -- asyncio.Protocol ----------------------------------------------
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Takes the transport."""
+        """Stores the transport and enables keepalive."""
         self._transport = transport
         sock = transport.get_extra_info("socket")
         if sock is not None:
             enable_keepalive(sock)
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came; bytes that nobody waits for spoil it."""
+        """Parses data; unexpected data makes the connection unusable."""
         if self._receiver is None:
-            self._spoil()
+            self._abandon()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._fail("the upstream switched the protocol")
+            self._fail("upstream switched protocols")
         except httptools.HttpParserError as error:
             if self._is_complete:
-                # Strange bytes behind a whole answer belong to nobody.
-                self._spoil()
+                # Malformed data after a complete response is not part of it.
+                self._abandon()
             else:
-                self._fail(f"bytes that are no answer: {error}")
+                self._fail(f"malformed response: {error}")
         if self._is_complete:
-            self._finish()
+            self._finish_response()
 
     def eof_received(self) -> bool:
-        """An answer without a length ends here, any other one is cut."""
+        """Ends a response without framing; any other one is truncated."""
         if self._receiver is not None:
-            if self._has_head and self._is_ours and not self._is_framed:
-                self._is_spoilt = True
+            if self._has_head and self._is_accepted and not self._has_framing:
+                self._is_unusable = True
                 self._is_complete = True
-                self._finish()
+                self._finish_response()
             else:
-                self._fail("closed before the whole answer")
+                self._fail("connection closed before the end of the response")
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """A reset, or the end of a connection."""
-        self._is_spoilt = True
+        """Handles a reset or the close of the connection."""
+        self._is_unusable = True
         self._fail(f"connection lost: {error or 'closed'}")
         self._transport = None
         if self.on_lost is not None:
@@ -207,97 +209,100 @@
     # -- httptools -----------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """A message begins; behind a whole answer it is not ours."""
+        """Starts a message; one after a complete response is unexpected."""
         if self._is_complete:
-            self._is_spoilt = True
+            self._is_unusable = True
         self._headers = []
-        self._is_framed = False
+        self._has_framing = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collects a header, its name in lower case."""
+        """Collects a header; its name is lower-cased."""
         name = name.lower()
         self._headers.append((name, value))
         if name in (b"content-length", b"transfer-encoding"):
-            self._is_framed = True
+            self._has_framing = True
         elif name == b"keep-alive":
-            self._note_keep_alive(value)
+            self._read_keep_alive(value)
 
-    def _note_keep_alive(self, value: bytes) -> None:
+    def _read_keep_alive(self, value: bytes) -> None:
         for item in value.split(b","):
             name, _, number = item.strip().partition(b"=")
             if name.lower() == b"timeout" and number.isdigit():
-                self.keep_s = float(number)
+                self.keep_alive_s = float(number)
 
     def on_headers_complete(self) -> None:
-        """Hands the head over, unless the message is not ours."""
+        """Passes the head of an expected response to the receiver."""
         status = self._parser.get_status_code()
-        self._is_ours = False
-        if self._is_complete or status < _STATUS_CONTINUE_END:
+        self._is_accepted = False
+        if self._is_complete or status < _FIRST_FINAL_STATUS:
             return
         if not self._parser.should_keep_alive():
-            self._is_spoilt = True
+            self._is_unusable = True
         if self._receiver is None:
             return
         if self._receiver.on_head(status, self._headers):
-            self._is_ours = True
+            self._is_accepted = True
             self._has_head = True
             return
-        self._strange += 1
-        # What has no length can't be told from what follows it.
-        if self._strange > _STRANGE_ANSWERS_MOST or not self._is_framed:
-            self._fail("answers to other requests")
+        self._mismatched_responses += 1
+        # A message without framing can't be told from what follows it.
+        if (
+            self._mismatched_responses > _MAX_MISMATCHED_RESPONSES
+            or not self._has_framing
+        ):
+            self._fail("responses to other requests")
 
     def on_body(self, data: bytes) -> None:
-        """Hands a piece of the body over."""
-        if self._is_ours and self._receiver is not None:
+        """Passes body data to the receiver."""
+        if self._is_accepted and self._receiver is not None:
             self._receiver.on_body(data)
 
     def on_message_complete(self) -> None:
-        """Notes that the whole answer is there."""
-        if self._is_ours:
+        """Marks the accepted response as complete."""
+        if self._is_accepted:
             self._is_complete = True
-            self._is_ours = False
+            self._is_accepted = False
 
-    # -- ends ----------------------------------------------------------
+    # -- completion ----------------------------------------------------
 
-    def _finish(self) -> None:
+    def _finish_response(self) -> None:
         receiver = self._receiver
         if receiver is None:
             return
         self._receiver = None
-        # Its caller may have been slow up to the end. Unread, a kept
-        # connection would give the next request no answer.
+        # Reading may still be paused for a slow caller; a pooled connection
+        # that is not read would never respond to the next request.
         self.resume()
         self.idle_since_s = self._loop.time()
         if self._transport is None:
-            self._is_spoilt = True
+            self._is_unusable = True
         elif self._transport.get_write_buffer_size() > 0:
-            # The upstream answered before it had read the request: what is
-            # still to be written would be taken for the next one.
-            self._is_spoilt = True
+            # The upstream responded before it had read the request; it would
+            # take the bytes still to be written for the next request.
+            self._is_unusable = True
         receiver.on_end()
-        if self._is_spoilt and self._transport is not None:
+        if self._is_unusable and self._transport is not None:
             self._transport.close()
 
     def _fail(self, reason: str) -> None:
         receiver = self._receiver
-        self._spoil()
+        self._abandon()
         if receiver is not None:
-            receiver.on_broken(reason)
+            receiver.on_failure(reason)
 
-    def _spoil(self) -> None:
-        """No request may follow: nobody knows where an answer begins."""
+    def _abandon(self) -> None:
+        """Aborts the connection: response boundaries on it are unknown."""
         self._receiver = None
-        self._is_spoilt = True
+        self._is_unusable = True
         if self._transport is not None:
             self._transport.abort()
 
 
 async def connect(address: str, timeout_s: float) -> ClientConnection:
-    """Opens a connection to an IP number and port.
+    """Opens a connection to an IP address and port.
 
     Raises:
-      OSError: Nobody accepts it, or not in time (`TimeoutError`).
+      OSError: The connection failed or timed out (`TimeoutError`).
     """
     loop = asyncio.get_running_loop()
     host, _, port = address.rpartition(":")
--- a/sesamecross/gateway/connection_pool.py
+++ b/sesamecross/gateway/connection_pool.py
@@ -1,75 +1,78 @@
-"""Kept connections to upstreams.
+"""Pool of idle connections to upstreams.
 
-Why: a new connection costs a round trip, a little of the upstream's time,
-and a place under the cap that all instances share. A kept one may have been
-closed or dropped by the other side unnoticed; what is sent on it then is
-lost, and only a request that may be repeated can be sent again.
+A new connection costs a round trip, some of the upstream's time, and a slot
+of the connection limit that all instances share. A pooled one may have been
+closed or dropped by the peer unnoticed; a request sent on it is then lost,
+and only an idempotent one can be sent again.
 """
 
 from sesamecross.gateway import client_connection
 
-# A connection to an upstream that accepts is there within the round trip
-# between regions (40 ms) and some time of a busy upstream. One that takes
-# longer goes to an upstream that is gone or cut off, or whose queue of
-# connections is full; nothing was sent yet, so another one can be asked.
+# Covers the round trip between regions (40 ms) and a busy upstream. One that
+# takes longer is down, unreachable, or has a full accept queue; nothing has
+# been sent yet, so another upstream can be tried.
 CONNECT_TIMEOUT_S = 0.35
-# Idle connections are reused this long, or shorter where the upstream names
-# a shorter time.
-IDLE_MOST_S = 4.0
-# Off the time that the upstream names, for the way there.
-KEEP_MARGIN_S = 0.5
+# Idle connections are reused for this long, or less if the upstream's
+# keep-alive header says less.
+MAX_IDLE_S = 4.0
+# Subtracted from the upstream's keep-alive time for the network latency.
+KEEP_ALIVE_MARGIN_S = 0.5
 
 
 class ConnectionPool:
-    """Idle connections by address; the last one used is used first."""
+    """Idle connections by address, reused last in, first out.
 
-    __slots__ = ("_idle", "opened")
+    Attributes:
+      opened_count: Number of connections opened so far.
+    """
+
+    __slots__ = ("_idle", "opened_count")
 
     def __init__(self) -> None:
         self._idle: dict[str, list[client_connection.ClientConnection]] = {}
-        self.opened = 0
+        self.opened_count = 0
 
-    async def take(
+    async def acquire(
         self, address: str, now_s: float, timeout_s: float
     ) -> client_connection.ClientConnection:
         """Returns an idle connection, or a new one.
 
         Raises:
-          OSError: No connection could be made in time.
+          OSError: No connection could be opened in time.
         """
         idle = self._idle.get(address, [])
         while idle:
             connection = idle.pop()
-            if connection.is_open and not _is_stale(connection, now_s):
+            if connection.is_available and not _is_stale(connection, now_s):
                 return connection
             connection.close()
-        self.opened += 1
+        self.opened_count += 1
         return await client_connection.connect(
             address, min(timeout_s, CONNECT_TIMEOUT_S)
         )
 
-    def give(
+    def release(
         self, address: str, connection: client_connection.ClientConnection
     ) -> None:
-        """Takes a connection back, if another request may follow on it."""
-        if connection.is_open:
+        """Returns a connection to the pool if it can be reused."""
+        if connection.is_available:
             self._idle.setdefault(address, []).append(connection)
 
-    def sweep(self, now_s: float) -> None:
-        """Closes what was idle too long."""
+    def close_stale(self, now_s: float) -> None:
+        """Closes connections that were idle too long."""
         for address in list(self._idle):
-            kept = []
+            fresh = []
             for connection in self._idle[address]:
-                if connection.is_open and not _is_stale(connection, now_s):
-                    kept.append(connection)
+                if connection.is_available and not _is_stale(connection, now_s):
+                    fresh.append(connection)
                 else:
                     connection.close()
-            if kept:
-                self._idle[address] = kept
+            if fresh:
+                self._idle[address] = fresh
             else:
                 del self._idle[address]
 
-    def drop(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Closes all idle connections to an address."""
         for connection in self._idle.pop(address, []):
             connection.close()
@@ -78,7 +81,7 @@
 def _is_stale(
     connection: client_connection.ClientConnection, now_s: float
 ) -> bool:
-    limit_s = IDLE_MOST_S
-    if connection.keep_s is not None:
-        limit_s = min(limit_s, connection.keep_s - KEEP_MARGIN_S)
+    limit_s = MAX_IDLE_S
+    if connection.keep_alive_s is not None:
+        limit_s = min(limit_s, connection.keep_alive_s - KEEP_ALIVE_MARGIN_S)
     return now_s - connection.idle_since_s >= limit_s
--- a/sesamecross/gateway/control_client.py
+++ b/sesamecross/gateway/control_client.py
@@ -1,8 +1,7 @@
-"""Control calls: a request whose whole answer is awaited.
+"""HTTP client for control calls: store calls, engine reports, engine orders.
 
-Why: calls to the store, reports and orders are small, each with a time-out
-of its own, and must say whether a call without an answer may have been
-carried out.
+These calls are small and have a timeout each. The outcome of a call without a
+response must say whether it may have been executed.
 """
 
 import asyncio
@@ -17,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: tuple[serving.Header, ...]
@@ -26,14 +25,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotSent:
-    """No byte of the call left this process."""
+    """No byte of the call was sent."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoAnswer:
-    """The call was sent and may have been carried out."""
+    """The call was sent and may have been executed."""
 
     reason: str
 
@@ -41,17 +40,23 @@
 Outcome = Answer | NotSent | NoAnswer
 
 
-class _Collector:
-    """Collects one answer."""
+class _ResponseCollector:
+    """Buffers one response."""
 
-    __slots__ = ("_done", "_status", "_headers", "_pieces", "_size")
+    __slots__ = (
+        "_outcome_future",
+        "_status",
+        "_headers",
+        "_chunks",
+        "_body_size",
+    )
 
-    def __init__(self, done: asyncio.Future):
-        self._done = done
+    def __init__(self, outcome_future: asyncio.Future):
+        self._outcome_future = outcome_future
         self._status = 0
         self._headers: tuple[serving.Header, ...] = ()
-        self._pieces: list[bytes] = []
-        self._size = 0
+        self._chunks: list[bytes] = []
+        self._body_size = 0
 
     def on_head(self, status: int, headers: list[serving.Header]) -> bool:
         self._status = status
@@ -59,34 +64,37 @@
         return True
 
     def on_body(self, data: bytes) -> None:
-        self._size += len(data)
-        if self._size <= MAX_BODY_BYTES:
-            self._pieces.append(data)
+        self._body_size += len(data)
+        if self._body_size <= MAX_BODY_BYTES:
+            self._chunks.append(data)
 
     def on_end(self) -> None:
-        if self._size > MAX_BODY_BYTES:
-            self._settle(NoAnswer("the answer is too large"))
+        if self._body_size > MAX_BODY_BYTES:
+            self._set_outcome(NoAnswer("response too large"))
             return
-        body = b"".join(self._pieces)
-        self._settle(Answer(self._status, self._headers, body))
+        body = b"".join(self._chunks)
+        self._set_outcome(Answer(self._status, self._headers, body))
 
-    def on_broken(self, reason: str) -> None:
-        self._settle(NoAnswer(reason))
+    def on_failure(self, reason: str) -> None:
+        self._set_outcome(NoAnswer(reason))
 
-    def _settle(self, outcome: Outcome) -> None:
-        if not self._done.done():
-            self._done.set_result(outcome)
+    def _set_outcome(self, outcome: Outcome) -> None:
+        if not self._outcome_future.done():
+            self._outcome_future.set_result(outcome)
 
 
 class ControlClient:
-    """Calls one address over kept connections."""
+    """Calls one address over keep-alive connections.
 
-    __slots__ = ("_address", "_idle", "_idle_most_s")
+    Connections that were idle for `max_idle_s` are not reused.
+    """
 
-    def __init__(self, address: str, idle_most_s: float = 4.0):
+    __slots__ = ("_address", "_idle", "_max_idle_s")
+
+    def __init__(self, address: str, max_idle_s: float = 4.0):
         self._address = address
         self._idle: list[client_connection.ClientConnection] = []
-        self._idle_most_s = idle_most_s
+        self._max_idle_s = max_idle_s
 
     async def call(
         self,
@@ -96,14 +104,14 @@
         body: bytes,
         timeout_s: float,
     ) -> Outcome:
-        """Sends a call and waits for its answer.
+        """Sends a call and waits for its response.
 
-        A call without an answer spoils its connection, and the idle ones
-        with it: what silenced the one has probably silenced the others.
+        If none arrives, the idle connections are closed together with the
+        call's own: they have probably failed for the same reason.
         """
         loop = asyncio.get_running_loop()
-        ends_s = loop.time() + timeout_s
-        connection = self._take(loop.time())
+        deadline_s = loop.time() + timeout_s
+        connection = self._take_idle(loop.time())
         if connection is None:
             wait_s = min(CONNECT_TIMEOUT_S, timeout_s)
             try:
@@ -113,34 +121,38 @@
             except OSError as error:
                 self.close_connections()
                 return NotSent(str(error) or type(error).__name__)
-        done = loop.create_future()
+        outcome_future = loop.create_future()
         host = [(b"host", self._address.encode())]
         connection.send(
             client_connection.encode_request(
                 method, target, host + headers, body
             ),
-            _Collector(done),
+            _ResponseCollector(outcome_future),
         )
         try:
-            await asyncio.wait([done], timeout=ends_s - loop.time())
+            await asyncio.wait(
+                [outcome_future], timeout=deadline_s - loop.time()
+            )
         except asyncio.CancelledError:
             connection.abort()
             raise
-        outcome: Outcome = NoAnswer("no answer in time")
-        if done.done():
-            outcome = done.result()
+        outcome: Outcome = NoAnswer("response timed out")
+        if outcome_future.done():
+            outcome = outcome_future.result()
         if isinstance(outcome, NoAnswer):
             connection.abort()
             self.close_connections()
-        elif connection.is_open:
+        elif connection.is_available:
             self._idle.append(connection)
         return outcome
 
-    def _take(self, now_s: float) -> client_connection.ClientConnection | None:
+    def _take_idle(
+        self, now_s: float
+    ) -> client_connection.ClientConnection | None:
         while self._idle:
             connection = self._idle.pop()
             age_s = now_s - connection.idle_since_s
-            if connection.is_open and age_s < self._idle_most_s:
+            if connection.is_available and age_s < self._max_idle_s:
                 return connection
             connection.close()
         return None
--- a/sesamecross/gateway/engine_search.py
+++ b/sesamecross/gateway/engine_search.py
@@ -1,8 +1,8 @@
-"""Finds an engine for one request, and waits for a model or a turn.
+"""Selects an engine for a request; waits for its model and for admission.
 
-Why: a model may be loaded nowhere yet, and an engine that holds it may have
-all the prompts that it can read. What is decided then (wait, come back, try
-another engine) stands in `sesamecross.ops.fleet`; here are the waits.
+The model may not be loaded anywhere yet, and an engine that holds it may have
+no prefill capacity left. The decisions (wait, retry later, try another engine)
+are made in `sesamecross.ops.fleet`; this module does the waiting.
 """
 
 import asyncio
@@ -18,21 +18,24 @@
 from sesamecross.ops.fleet import engine_choice
 from sesamecross.ops.fleet import wait_policy
 
-# A request that waits for a model says so again this often.
-WANT_AGAIN_S = 0.25
+# Interval at which a waiting request repeats its placement request.
+PLACEMENT_REQUEST_INTERVAL_S = 0.25
 
 
-def _nobody(service: str, target: str, upstream: str) -> None:
-    """Nobody gives orders yet."""
+def _ignore_request(service: str, target: str, upstream: str) -> None:
+    """Default until the placement client is set."""
 
 
 @dataclasses.dataclass(slots=True)
 class SearchContext:
-    """What the searches of one instance share.
+    """State shared by all searches of one instance.
 
     Attributes:
-      want: Tells who gives orders that a request waits for a target.
-      pacing: Set once the instance speaks with the others.
+      missing: Since when requests have found a model on no engine.
+      request_placement: Tells the lease holder that a request waits for a
+        target. Arguments: service, target, and the engine that lacks it, or
+        empty.
+      pacing: Prefill admission; set when the application is assembled.
     """
 
     state: state_lib.State
@@ -43,103 +46,106 @@
     missing: wait_policy.MissedModels = dataclasses.field(
         default_factory=wait_policy.MissedModels
     )
-    want: Callable[[str, str, str], None] = _nobody
+    request_placement: Callable[[str, str, str], None] = _ignore_request
     pacing: pacing_lib.Pacing | None = None
 
 
 class EngineSearch:
-    """One request's search. It goes on after each failed attempt.
+    """The search of one request; continues after each failed attempt.
 
     Attributes:
-      choice: The engine that was found last, and what decided for it.
-      back_s: After a search in vain, when the caller should come back.
+      choice: The engine found last, and the figures that decided for it.
+      retry_after_s: After an unsuccessful search, the delay after which the
+        caller should retry.
     """
 
     __slots__ = (
         "choice",
-        "back_s",
-        "_parts",
+        "retry_after_s",
+        "_context",
         "_route",
         "_call",
         "_arrived_s",
-        "_ends_s",
-        "_full",
-        "_expected_s",
-        "_waited_s",
-        "_paced_s",
+        "_deadline_s",
+        "_refused_by",
+        "_planned_arrival_s",
+        "_model_wait_s",
+        "_pacing_wait_s",
         "_permit",
     )
 
     def __init__(
         self,
-        parts: SearchContext,
+        context: SearchContext,
         route: serving.Route,
         call: serving.ModelCall,
         arrived_s: float,
-        ends_s: float,
+        deadline_s: float,
     ):
         self.choice: engine_choice.Choice | None = None
-        self.back_s = 0.0
-        self._parts = parts
+        self.retry_after_s = 0.0
+        self._context = context
         self._route = route
         self._call = call
         self._arrived_s = arrived_s
-        self._ends_s = ends_s
-        # Engines whose pacer refused the request.
-        self._full: set[str] = set()
-        # When the model was expected, by the last plan that was looked at.
-        self._expected_s: float | None = None
-        self._waited_s = 0.0
-        self._paced_s = 0.0
+        self._deadline_s = deadline_s
+        # Engines for which the request was refused admission.
+        self._refused_by: set[str] = set()
+        # When the model is expected, by the placement plan read last.
+        self._planned_arrival_s: float | None = None
+        self._model_wait_s = 0.0
+        self._pacing_wait_s = 0.0
         self._permit: pacing_lib.Permit | None = None
 
     @property
-    def key(self) -> demand_lib.Key:
-        """The service and what is asked of it; the route has a target."""
+    def demand_key(self) -> demand_lib.Key:
+        """Service and target for demand accounting; the route has targets."""
         return (self._route.targets[0].service, self._call.target)
 
     @property
-    def waited_s(self) -> float:
-        """How long the request waited for its model or adapter."""
-        return self._waited_s
+    def model_wait_s(self) -> float:
+        """Time spent waiting for the model or adapter."""
+        return self._model_wait_s
 
     @property
-    def held_s(self) -> float:
-        """How long the request was held here: for its model, for its turn."""
-        return self._waited_s + self._paced_s
+    def total_wait_s(self) -> float:
+        """Time spent waiting for the model or adapter and for admission."""
+        return self._model_wait_s + self._pacing_wait_s
 
     async def find(
         self, tried: frozenset[str]
     ) -> directory.KnownUpstream | None:
-        """Returns an engine that may get the request now, or None.
+        """Returns an engine that can be sent the request now, or None.
 
         Args:
-          tried: Engines that had it before; a last choice.
+          tried: Engines that were tried before; used only as a last resort.
         """
         loop = asyncio.get_running_loop()
         while True:
             now_s = loop.time()
-            choice = self._best(tried, now_s)
+            choice = self._choose_engine(tried, now_s)
             if choice is None or choice.lacks_adapter:
-                if not await self._wait(choice, now_s):
+                if not await self._wait_for_target(choice, now_s):
                     return None
                 continue
-            if not await self._take_turn(choice):
-                if self._has_another():
+            if not await self._acquire_permit(choice):
+                if self._has_alternative():
                     continue
-                # A model whose callers are turned away needs more engines.
-                self._parts.demand.record_outcome(self.key, True)
+                # Refused callers count as late: the model needs more engines.
+                self._context.demand.record_outcome(self.demand_key, True)
                 return None
-            if self._is_still_good(choice.upstream):
+            if self._is_still_usable(choice.upstream):
                 self.choice = choice
-                self._parts.demand.record_prompt(self.key, choice.read_s)
+                self._context.demand.record_prompt(
+                    self.demand_key, choice.read_s
+                )
                 return choice.upstream
-            self.release()
+            self.release_permit()
 
-    def release(self) -> None:
-        """The prompt was read, or is not sent."""
+    def release_permit(self) -> None:
+        """Releases the permit: the prefill is done, or nothing is sent."""
         if self._permit is not None:
-            self._parts.pacing.read(self._permit)
+            self._context.pacing.release(self._permit)
             self._permit = None
 
     # -- candidates ----------------------------------------------------
@@ -148,170 +154,169 @@
         now_s = asyncio.get_running_loop().time()
         usable = []
         for target in self._route.targets:
-            known = self._parts.state.directory.usable(target.service, now_s)
+            known = self._context.state.directory.usable(target.service, now_s)
             usable.extend(known)
         return usable
 
-    def _best(
+    def _choose_engine(
         self, tried: frozenset[str], now_s: float
     ) -> engine_choice.Choice | None:
-        """Returns the best engine, one that leaves only as the last choice."""
-        location = self._parts.state.location
-        rng = self._parts.rng
+        """Returns the best engine; leaving ones only as a last resort."""
+        location = self._context.state.location
+        rng = self._context.rng
         usable = self._usable()
-        fresh = [one for one in usable if one.entry.instance_id not in tried]
+        untried = [one for one in usable if one.entry.instance_id not in tried]
         candidates = [
             known
-            for known in fresh or usable
-            if known.entry.instance_id not in self._full
+            for known in untried or usable
+            if known.entry.instance_id not in self._refused_by
         ]
         choice = engine_choice.choose(
             self._call, candidates, location, now_s, rng
         )
         if choice is not None:
             return choice
-        usable_while_leaving = []
+        leaving = []
         for target in self._route.targets:
-            known = self._parts.state.directory.usable_while_leaving(
-                target.service, self._lasts_s, now_s
+            known = self._context.state.directory.usable_while_leaving(
+                target.service, self._generation_s, now_s
             )
-            usable_while_leaving.extend(known)
-        return engine_choice.choose(
-            self._call, usable_while_leaving, location, now_s, rng
-        )
+            leaving.extend(known)
+        return engine_choice.choose(self._call, leaving, location, now_s, rng)
 
     @property
-    def _lasts_s(self) -> float:
+    def _generation_s(self) -> float:
         return self._call.output_tokens * engine_choice.TOKEN_INTERVAL_S
 
-    def _is_still_good(self, known: directory.KnownUpstream) -> bool:
-        """Whether an engine may get the request now that its turn has come.
+    def _is_still_usable(self, known: directory.KnownUpstream) -> bool:
+        """Whether an engine can still take the request after admission.
 
-        The wait for a turn lasts up to 1.7 s. An engine that began to leave
-        meanwhile must get nothing new, and one may have dropped the model.
+        The wait for admission lasts up to 1.7 s. Meanwhile the engine may have
+        begun to leave, and must get no new requests, or unloaded the model.
         """
         now_s = asyncio.get_running_loop().time()
-        may_receive = self._parts.state.directory.may_receive(
-            known, self._lasts_s, now_s
+        may_receive = self._context.state.directory.may_receive(
+            known, self._generation_s, now_s
         )
         return may_receive and known.engine.holds(
             known.entry, self._call.target, now_s
         )
 
-    def _has_another(self) -> bool:
-        """Whether an engine is left that has the target and is not full."""
+    def _has_alternative(self) -> bool:
+        """Whether another engine holds the target and has not refused."""
         now_s = asyncio.get_running_loop().time()
         return any(
             known.engine.holds(known.entry, self._call.target, now_s)
             and not known.seems_down(now_s)
             for known in self._usable()
-            if known.entry.instance_id not in self._full
+            if known.entry.instance_id not in self._refused_by
         )
 
     # -- waits ---------------------------------------------------------
 
-    async def _wait(
+    async def _wait_for_target(
         self, choice: engine_choice.Choice | None, now_s: float
     ) -> bool:
-        """Waits for news of the model, or of the adapter that `choice` lacks.
+        """Waits for the model, or for the adapter that `choice` lacks.
 
         Returns:
-          False where the caller should come back instead.
+          True after a change of state or a timeout, when the search should
+          continue; False if the caller should retry later.
         """
-        parts = self._parts
-        service, _ = self.key
+        context = self._context
+        service, _ = self.demand_key
         if choice is None:
-            parts.want(service, self._call.model, "")
+            context.request_placement(service, self._call.model, "")
         else:
             engine = choice.upstream.entry.instance_id
-            parts.want(service, self._call.target, engine)
-        decision = self._decide(choice, now_s)
+            context.request_placement(service, self._call.target, engine)
+        decision = self._decide_wait(choice, now_s)
         if isinstance(decision, wait_policy.RetryAfter):
-            self.back_s = decision.after_s
+            self.retry_after_s = decision.after_s
             return False
-        parts.demand.adjust_waiting(self.key, 1)
+        context.demand.adjust_waiting(self.demand_key, 1)
         try:
-            await parts.state.changed(
-                min(WANT_AGAIN_S, decision.until_s - now_s)
+            await context.state.wait_for_change(
+                min(PLACEMENT_REQUEST_INTERVAL_S, decision.until_s - now_s)
             )
         finally:
-            parts.demand.adjust_waiting(self.key, -1)
-            self._waited_s += asyncio.get_running_loop().time() - now_s
+            context.demand.adjust_waiting(self.demand_key, -1)
+            self._model_wait_s += asyncio.get_running_loop().time() - now_s
         return True
 
-    def _decide(
+    def _decide_wait(
         self, choice: engine_choice.Choice | None, now_s: float
     ) -> wait_policy.Wait | wait_policy.RetryAfter:
-        window = wait_policy.RequestTimes(
+        request_times = wait_policy.RequestTimes(
             self._arrived_s,
             wait_policy.send_deadline_s(
-                self._route, self._arrived_s, self._ends_s
+                self._route, self._arrived_s, self._deadline_s
             ),
-            self._ends_s,
+            self._deadline_s,
         )
         if choice is not None:
-            return wait_policy.decide_adapter(window, now_s)
-        missed_s = self._parts.missing.since(self._call.model, now_s)
-        self._expected_s = self._arrives_s()
+            return wait_policy.decide_adapter(request_times, now_s)
+        missing_since_s = self._context.missing.since(self._call.model, now_s)
+        self._planned_arrival_s = self._earliest_arrival_s()
         return wait_policy.decide_model(
-            window, self._expected_s, missed_s, now_s
+            request_times, self._planned_arrival_s, missing_since_s, now_s
         )
 
-    def _arrives_s(self) -> float | None:
-        """Returns when the model is expected, where it is loaded or planned."""
+    def _earliest_arrival_s(self) -> float | None:
+        """Returns when the first engine is expected to hold the model."""
         times = [
             known.engine.ready_at_s(self._call.model)
             for known in self._usable()
         ]
         return min((one for one in times if one is not None), default=None)
 
-    async def _take_turn(self, choice: engine_choice.Choice) -> bool:
-        """Waits until the engine may get one more prompt to read."""
+    async def _acquire_permit(self, choice: engine_choice.Choice) -> bool:
+        """Waits for permission to send the prompt to the engine."""
         loop = asyncio.get_running_loop()
         route = self._route
         send_deadline_s = wait_policy.send_deadline_s(
-            route, self._arrived_s, self._ends_s
+            route, self._arrived_s, self._deadline_s
         )
-        begun_s = loop.time()
-        answer = await self._parts.pacing.ask(
+        started_s = loop.time()
+        result = await self._context.pacing.acquire(
             choice.upstream,
             choice.uncached_tokens,
             self._arrived_s + route.objective_s - choice.expected_s,
             send_deadline_s,
         )
         now_s = loop.time()
-        self._paced_s += now_s - begun_s
-        match answer:
-            case pacing_lib.Refused(after_s=after_s):
-                self.back_s = wait_policy.retry_after_s(
-                    after_s, self._ends_s, now_s
+        self._pacing_wait_s += now_s - started_s
+        match result:
+            case pacing_lib.PermitRefused(after_s=after_s):
+                self.retry_after_s = wait_policy.retry_after_s(
+                    after_s, self._deadline_s, now_s
                 )
-                self._full.add(choice.upstream.entry.instance_id)
+                self._refused_by.add(choice.upstream.entry.instance_id)
                 return False
-        self._permit = answer
+        self._permit = result
         return True
 
-    # -- what is logged ------------------------------------------------
+    # -- log fields ----------------------------------------------------
 
     def refusal_fields(self) -> dict[str, object]:
-        """Returns what a refusal rests on, and how old that is."""
+        """Returns the grounds of a refusal and the age of the plan."""
         now_s = asyncio.get_running_loop().time()
         fields: dict[str, object] = {}
-        if self._expected_s is not None:
-            fields["expected_in_s"] = round(self._expected_s - now_s, 2)
-        told_s = [known.engine.place_s for known in self._usable()]
-        if told_s:
-            fields["plan_age_ms"] = round((now_s - max(told_s)) * 1000)
-        if self._full:
-            fields["full"] = sorted(self._full)
+        if self._planned_arrival_s is not None:
+            fields["expected_in_s"] = round(self._planned_arrival_s - now_s, 2)
+        plan_times_s = [known.engine.place_s for known in self._usable()]
+        if plan_times_s:
+            fields["plan_age_ms"] = round((now_s - max(plan_times_s)) * 1000)
+        if self._refused_by:
+            fields["full"] = sorted(self._refused_by)
         return fields
 
-    def fields(self) -> dict[str, object]:
-        """Returns what decided where the request went."""
+    def log_fields(self) -> dict[str, object]:
+        """Returns the figures that decided where the request was sent."""
         fields: dict[str, object] = {
             "target": self._call.target,
-            "waited_ms": round(self._waited_s * 1000),
-            "paced_ms": round(self._paced_s * 1000),
+            "waited_ms": round(self._model_wait_s * 1000),
+            "paced_ms": round(self._pacing_wait_s * 1000),
         }
         if self.choice is not None:
             fields["expected_ms"] = round(self.choice.expected_s * 1000)
--- a/sesamecross/gateway/event_relay.py
+++ b/sesamecross/gateway/event_relay.py
@@ -1,8 +1,8 @@
-"""Passes a stream's events on to a caller, over one or more runs.
+"""Forwards a stream's server-sent events to a caller, over several attempts.
 
-Why: an upstream can stop in the middle of an event. Only whole events are
-passed on, so that another run can go on behind the last one without a seam;
-the caller sees one answer with the first upstream's head.
+An upstream can fail in the middle of an event. Only complete events are
+forwarded, so that another attempt can resume after the last one; the caller
+sees one response with the first upstream's head.
 """
 
 import asyncio
@@ -13,112 +13,122 @@
 from sesamecross.ops.fleet import directory
 
 _MAX_EVENT_BYTES = 1024 * 1024
-_END = b"\n\n"
-_ID = b"id:"
+_EVENT_END = b"\n\n"
+_ID_FIELD = b"id:"
 
 
 class InvalidEvent(Exception):
-    """The upstream sent something that is not the next event."""
+    """The upstream sent an unterminated event that is too large."""
 
 
 class EventRelay:
-    """The events of one request.
+    """Forwards the events of one request.
 
     Attributes:
-      events: How many events were passed on.
-      last_id: Of the last event passed on, or empty.
-      upstream: Which one the events come from, if that is known.
-      on_first: Called at the next event.
-      first_s: When the first event came, or None.
-      gap_s: The longest pause between events so far.
+      event_count: Number of events forwarded.
+      last_event_id: Id of the last event that had one, or empty.
+      upstream: The engine that sends the events; None if not for a model.
+      on_first_event: Called once, at the next event.
+      first_event_s: Loop time of the first event, or None.
+      max_gap_s: The longest pause between events so far.
+      max_gap_at_s: Loop time at which that pause ended.
     """
 
     __slots__ = (
-        "events",
-        "last_id",
+        "event_count",
+        "last_event_id",
         "upstream",
-        "on_first",
-        "first_s",
-        "gap_s",
-        "gap_at_s",
-        "_last_s",
+        "on_first_event",
+        "first_event_s",
+        "max_gap_s",
+        "max_gap_at_s",
+        "_last_event_s",
         "_response_writer",
         "_head",
-        "_rest",
+        "_partial_event",
     )
 
     def __init__(self, response_writer: response_writer_lib.ResponseWriter):
-        self.events = 0
-        self.last_id = ""
-        self.first_s: float | None = None
-        self.gap_s = 0.0
-        self.gap_at_s = 0.0
-        self._last_s = 0.0
+        self.event_count = 0
+        self.last_event_id = ""
+        self.first_event_s: float | None = None
+        self.max_gap_s = 0.0
+        self.max_gap_at_s = 0.0
+        self._last_event_s = 0.0
         self.upstream: directory.KnownUpstream | None = None
-        self.on_first: Callable[[], None] | None = None
+        self.on_first_event: Callable[[], None] | None = None
         self._response_writer = response_writer
         self._head: tuple[int, list[serving.Header]] | None = None
-        self._rest = b""
+        self._partial_event = b""
 
     @property
-    def is_between_events(self) -> bool:
-        """Whether all that arrived was whole events."""
-        return not self._rest.strip()
+    def is_at_event_boundary(self) -> bool:
+        """Whether the data received so far ends with a complete event."""
+        return not self._partial_event.strip()
 
-    def begin_run(
+    def begin_stream(
         self, status: int, headers: tuple[serving.Header, ...]
     ) -> None:
-        """A run begins. The first run's head is the one passed on."""
-        self._rest = b""
-        if not self.events:
+        """Starts a new attempt's stream.
+
+        The head that is forwarded is that of the first attempt with events.
+        """
+        self._partial_event = b""
+        if not self.event_count:
             self._head = (status, list(headers))
 
     def feed(self, data: bytes) -> None:
-        """Passes on the events completed by `data`.
+        """Forwards the events completed by `data`.
 
         Raises:
-          WrongEvent: An event is not the next one, or has no end.
+          InvalidEvent: An unterminated event exceeds `_MAX_EVENT_BYTES`.
         """
-        whole, end, rest = (self._rest + data).rpartition(_END)
-        if len(rest) > _MAX_EVENT_BYTES:
-            raise InvalidEvent("an event without end")
-        self._rest = rest
-        if not end:
+        complete_events, separator, partial_event = (
+            self._partial_event + data
+        ).rpartition(_EVENT_END)
+        if len(partial_event) > _MAX_EVENT_BYTES:
+            raise InvalidEvent("unterminated event too large")
+        self._partial_event = partial_event
+        if not separator:
             return
-        whole += end
+        complete_events += separator
         now_s = asyncio.get_running_loop().time()
         if self.upstream is not None:
             self.upstream.reachability.record_contact(now_s)
-        if self.first_s is None:
-            self.first_s = now_s
+        if self.first_event_s is None:
+            self.first_event_s = now_s
         else:
-            if now_s - self._last_s > self.gap_s:
-                self.gap_s = now_s - self._last_s
-                self.gap_at_s = now_s
-        self._last_s = now_s
-        if self.on_first is not None:
-            self.on_first()
-            self.on_first = None
-        self._note_ids(whole)
-        if self._response_writer.is_begun:
-            self._response_writer.piece(whole)
+            if now_s - self._last_event_s > self.max_gap_s:
+                self.max_gap_s = now_s - self._last_event_s
+                self.max_gap_at_s = now_s
+        self._last_event_s = now_s
+        if self.on_first_event is not None:
+            self.on_first_event()
+            self.on_first_event = None
+        self._record_event_ids(complete_events)
+        if self._response_writer.is_started:
+            self._response_writer.send_chunk(complete_events)
         else:
             status, headers = self._head
-            self._response_writer.begin(status, headers, whole)
+            self._response_writer.begin_chunked(
+                status, headers, complete_events
+            )
 
-    def _note_ids(self, whole: bytes) -> None:
-        for event in whole.split(_END):
+    def _record_event_ids(self, complete_events: bytes) -> None:
+        for event in complete_events.split(_EVENT_END):
             if not event.strip():
                 continue
-            self.events += 1
+            self.event_count += 1
             for line in event.split(b"\n"):
-                if line.startswith(_ID):
-                    self.last_id = line[len(_ID) :].strip().decode("latin-1")
+                if line.startswith(_ID_FIELD):
+                    self.last_event_id = (
+                        line[len(_ID_FIELD) :].strip().decode("latin-1")
+                    )
 
     def finish(self) -> None:
-        """Ends the caller's answer as complete."""
-        if self._response_writer.is_begun:
-            self._response_writer.end()
+        """Ends the caller's response as complete."""
+        if self._response_writer.is_started:
+            self._response_writer.end_chunked()
         else:
             status, headers = self._head
-            self._response_writer.whole(status, headers, b"")
+            self._response_writer.send_response(status, headers, b"")
--- a/sesamecross/gateway/event_relay_test.py
+++ b/sesamecross/gateway/event_relay_test.py
@@ -9,49 +9,49 @@
 
 from sesamecross.gateway import event_relay
 
-SIGNATURE = b"x-signature"
+SIGNATURE_HEADER = b"x-signature"
 
 
-class _Exchange:
+class _FakeResponseWriter:
     """A caller's answer, as it would arrive."""
 
     def __init__(self) -> None:
-        self.is_begun = False
+        self.is_started = False
         self.is_ended = False
         self.headers: list[tuple[bytes, bytes]] = []
         self.received = b""
 
-    def begin(self, status, headers, first) -> None:
-        assert not self.is_begun
-        self.is_begun = True
+    def begin_chunked(self, status, headers, first) -> None:
+        assert not self.is_started
+        self.is_started = True
         self.headers = headers
         self.received += first
 
-    def piece(self, data) -> None:
-        assert self.is_begun
+    def send_chunk(self, data) -> None:
+        assert self.is_started
         assert not self.is_ended
         self.received += data
 
-    def end(self) -> None:
+    def end_chunked(self) -> None:
         assert not self.is_ended
         self.is_ended = True
 
-    def whole(self, status, headers, body) -> None:
-        self.begin(status, headers, body)
-        self.end()
+    def send_response(self, status, headers, body) -> None:
+        self.begin_chunked(status, headers, body)
+        self.end_chunked()
 
 
 def event(number: int) -> bytes:
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
-def run_from(last_id: str, count: int) -> bytes:
+def events_after(last_event_id: str, count: int) -> bytes:
     """Returns what an upstream sends that goes on behind an event."""
-    start = int(last_id) + 1 if last_id else 1
+    start = int(last_event_id) + 1 if last_event_id else 1
     return b"".join(event(number) for number in range(start, count + 1))
 
 
-RUNS = st.lists(
+ATTEMPTS = st.lists(
     st.tuples(
         # Where the run breaks off, as a share of its bytes, and the size of
         # the pieces in which it arrives.
@@ -63,38 +63,38 @@
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(runs=RUNS, count=st.integers(1, 12))
-def test_a_resumed_stream_has_each_event_once_and_in_order(runs, count):
+@given(attempts=ATTEMPTS, count=st.integers(1, 12))
+def test_a_resumed_stream_has_each_event_once_and_in_order(attempts, count):
     """A caller got half an event twice after its engine had died.
 
     Upstreams break off at any byte, also in the middle of an event; the next
     run goes on behind the last whole event.
     """
 
-    async def play():
-        response_writer = _Exchange()
+    async def run_scenario():
+        response_writer = _FakeResponseWriter()
         relay = event_relay.EventRelay(response_writer)
-        for number, (share, size) in enumerate(runs):
-            data = run_from(relay.last_id, count)
+        for number, (share, size) in enumerate(attempts):
+            data = events_after(relay.last_event_id, count)
             data = data[: int(len(data) * share)]
-            relay.begin_run(200, ((SIGNATURE, b"run %d" % number),))
+            relay.begin_stream(200, ((SIGNATURE_HEADER, b"run %d" % number),))
             for i in range(0, len(data), size):
                 relay.feed(data[i : i + size])
-        relay.begin_run(200, ((SIGNATURE, b"last"),))
-        relay.feed(run_from(relay.last_id, count))
+        relay.begin_stream(200, ((SIGNATURE_HEADER, b"last"),))
+        relay.feed(events_after(relay.last_event_id, count))
         relay.finish()
         return response_writer, relay
 
-    response_writer, relay = asyncio.run(play())
-    assert response_writer.received == run_from("", count)
+    response_writer, relay = asyncio.run(run_scenario())
+    assert response_writer.received == events_after("", count)
     assert response_writer.is_ended
-    assert relay.events == count
+    assert relay.event_count == count
     # All of it bears one head: that of the run whose events came first.
     assert len(response_writer.headers) == 1
 
 
 @pytest.mark.parametrize(
-    ("pieces", "received", "is_between"),
+    ("pieces", "received", "at_boundary"),
     [
         ([event(1) + b"id: 2\nda"], event(1), False),
         ([b"id: 1\nda"], b"", False),
@@ -102,28 +102,28 @@
         ([event(1)[:-1], b"\n"], event(1), True),
     ],
 )
-def test_only_whole_events_are_passed_on(pieces, received, is_between):
-    async def play():
-        response_writer = _Exchange()
+def test_only_complete_events_are_forwarded(pieces, received, at_boundary):
+    async def run_scenario():
+        response_writer = _FakeResponseWriter()
         relay = event_relay.EventRelay(response_writer)
-        relay.begin_run(200, ())
+        relay.begin_stream(200, ())
         for piece in pieces:
             relay.feed(piece)
         return response_writer, relay
 
-    response_writer, relay = asyncio.run(play())
+    response_writer, relay = asyncio.run(run_scenario())
     assert response_writer.received == received
-    assert relay.is_between_events is is_between
+    assert relay.is_at_event_boundary is at_boundary
 
 
-def test_an_event_without_end_is_not_kept_for_ever():
+def test_an_unterminated_event_is_not_buffered_without_limit():
     """An upstream sent bytes without a line end until memory was gone."""
 
-    async def play():
-        relay = event_relay.EventRelay(_Exchange())
-        relay.begin_run(200, ())
+    async def run_scenario():
+        relay = event_relay.EventRelay(_FakeResponseWriter())
+        relay.begin_stream(200, ())
         with pytest.raises(event_relay.InvalidEvent):
             for _ in range(10_000):
                 relay.feed(b"x" * 1024)
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
--- a/sesamecross/gateway/forwarder.py
+++ b/sesamecross/gateway/forwarder.py
@@ -1,8 +1,8 @@
-"""Serves a request: finds its route and upstream, sends it, answers it.
+"""Forwards requests: finds the route and upstream, sends, and responds.
 
-Why: one coroutine for each request follows it from the front door to its
-answer, so that its whole life can be read in one place. What is decided on
-the way is decided in `sesamecross.ops.fleet`; here are the waits.
+One coroutine per request covers its whole life, from the caller's connection
+to the response. The decisions are made in `sesamecross.ops.fleet`; this module
+does the waiting.
 """
 
 import asyncio
@@ -29,14 +29,21 @@
 from sesamecross.runtime import logs
 from sesamecross.runtime import metrics as metrics_lib
 
-# Where a caller is told to come back when nothing better is known.
-RETRY_AFTER_S = 0.5
-# A request that waited longer than this for its model was late by that.
-WAITED_S = 0.1
+# Retry-after of a refusal when no better estimate is known.
+DEFAULT_RETRY_AFTER_S = 0.5
+# A request that waited longer than this for its model is late for that reason
+# and says nothing about whether the model's engines keep up.
+MAX_LATENESS_WAIT_S = 0.1
 
 
 class Forwarder:
-    """Answers requests of callers."""
+    """Request handler for callers.
+
+    Attributes:
+      search_context: State shared by the searches for an engine.
+      uses: Requests in progress by engine and target.
+      stop: Set while this instance stops.
+    """
 
     __slots__ = (
         "_state",
@@ -45,8 +52,8 @@
         "_rng",
         "_metrics",
         "_log",
-        "_open",
-        "engines",
+        "_open_tasks",
+        "search_context",
         "uses",
         "stop",
     )
@@ -65,15 +72,14 @@
         self._rng = rng
         self._metrics = metrics
         self._log = logs.part("request")
-        self._open: set[_Serving] = set()
-        self.engines = engine_search.SearchContext(state, rng)
+        self._open_tasks: set[_RequestTask] = set()
+        self.search_context = engine_search.SearchContext(state, rng)
         self.uses = target_uses.TargetUses()
-        # Set while this instance stops.
         self.stop: stopping.Stop | None = None
 
     @property
     def limits(self) -> serving.CallerLimits:
-        """The limits in force for callers."""
+        """The current limits for callers."""
         return self._state.limits
 
     @property
@@ -83,24 +89,25 @@
 
     @property
     def open_requests(self) -> int:
-        """How many requests are being answered."""
-        return len(self._open)
+        """Number of requests in progress."""
+        return len(self._open_tasks)
 
-    def end(self) -> None:
-        """Takes no more, and gives up what is open: the process is to end.
+    def shut_down(self) -> None:
+        """Ends all requests in progress; the process is about to exit.
 
-        Whoever asked hears now what became of the request. The end of the
-        process would only break it off, or have it fail as by a fault.
+        Each caller now gets a response that says what is known of its request.
+        The exit would otherwise cut the request off, or make it look like an
+        internal error.
         """
         self.stop = self.stop.ended(asyncio.get_running_loop().time())
-        for one in list(self._open):
-            one.give_up()
+        for request_task in list(self._open_tasks):
+            request_task.shut_down()
 
-    def read_request(
-        self, head: server_connection.Head, body: bytes
+    def parse_request(
+        self, head: server_connection.RequestHead, body: bytes
     ) -> serving.Request | None:
-        """Returns the request that a head and a body make."""
-        said = self._http_codec.parse_request_head(head.headers)
+        """Builds the request from its head and body."""
+        caller_info = self._http_codec.parse_request_head(head.headers)
         host = next(v for n, v in head.headers if n == b"host")
         return serving.Request(
             head.method,
@@ -108,14 +115,14 @@
             host.decode("latin-1"),
             tuple(head.headers),
             body,
-            said.request_id,
-            said.deadline_s,
-            said.last_event_id,
-            said.call,
+            caller_info.request_id,
+            caller_info.deadline_s,
+            caller_info.last_event_id,
+            caller_info.call,
         )
 
-    def rejected(self, status: int, reason: str) -> None:
-        """A request was refused for its form."""
+    def on_rejected(self, status: int, reason: str) -> None:
+        """Logs a request that was rejected before it could be parsed."""
         self._log.warning("malformed", status=status, why=reason)
 
     def handle(
@@ -123,106 +130,106 @@
         request: serving.Request,
         response_writer: response_writer_lib.ResponseWriter,
     ) -> None:
-        """Starts to answer a request."""
-        one = _Serving(self, request, response_writer)
-        task = asyncio.create_task(one.run())
-        one.task = task
-        self._open.add(one)
-        task.add_done_callback(lambda _: self._open.discard(one))
+        """Starts a task that forwards the request and responds."""
+        request_task = _RequestTask(self, request, response_writer)
+        task = asyncio.create_task(request_task.run())
+        request_task.task = task
+        self._open_tasks.add(request_task)
+        task.add_done_callback(lambda _: self._open_tasks.discard(request_task))
 
 
-class _Serving:
-    """One request on its way."""
+class _RequestTask:
+    """The life of one request."""
 
     __slots__ = (
         "task",
-        "_owner",
+        "_forwarder",
         "_request",
         "_response_writer",
         "_route",
         "_arrived_s",
-        "_ends_s",
-        "_progress",
+        "_deadline_s",
+        "_history",
         "_relay",
         "_connection",
         "_upstream",
         "_search",
-        "_tried",
-        "_back_s",
+        "_tried_ids",
+        "_retry_after_s",
         "_note",
-        "_is_begun",
-        "_is_given_up",
+        "_is_started",
+        "_is_shut_down",
     )
 
     def __init__(
         self,
-        owner: Forwarder,
+        forwarder: Forwarder,
         request: serving.Request,
         response_writer: response_writer_lib.ResponseWriter,
     ):
         self.task: asyncio.Task | None = None
-        self._owner = owner
+        self._forwarder = forwarder
         self._request = request
         self._response_writer = response_writer
         self._route: serving.Route | None = None
         self._arrived_s = asyncio.get_running_loop().time()
-        self._ends_s = 0.0
-        self._progress = retry_policy.AttemptHistory()
+        self._deadline_s = 0.0
+        self._history = retry_policy.AttemptHistory()
         self._relay: event_relay.EventRelay | None = None
         self._connection: client_connection.ClientConnection | None = None
         self._upstream: directory.KnownUpstream | None = None
-        # Set where the request is for a model.
+        # Set if the request is for a model.
         self._search: engine_search.EngineSearch | None = None
-        self._tried: set[str] = set()
-        self._back_s = RETRY_AFTER_S
+        self._tried_ids: set[str] = set()
+        self._retry_after_s = DEFAULT_RETRY_AFTER_S
         self._note = ""
-        self._is_begun = False
-        self._is_given_up = False
+        self._is_started = False
+        self._is_shut_down = False
 
     async def run(self) -> None:
-        """Answers the request, or gives up when the caller is gone."""
-        self._is_begun = True
-        self._response_writer.on_gone = self._on_gone
-        self._response_writer.on_slow = self._on_slow
+        """Forwards the request and responds, unless the caller disconnects."""
+        self._is_started = True
+        self._response_writer.on_caller_gone = self._on_caller_gone
+        self._response_writer.on_caller_slow = self._on_caller_slow
         outcome = "failed"
         try:
             outcome = await self._run()
         except asyncio.CancelledError:
             outcome = "caller gone"
-            if self._is_given_up:
-                outcome = self._stopped()
+            if self._is_shut_down:
+                outcome = self._answer_shutdown()
         except Exception:
-            self._owner._log.exception("error", id=self._request.request_id)
+            self._forwarder._log.exception("error", id=self._request.request_id)
         finally:
             if self._connection is not None:
                 self._connection.abort()
             if self._search is not None:
-                self._search.release()
-            if not self._response_writer.is_over:
-                # An error of ours: nothing may be promised.
+                self._search.release_permit()
+            if not self._response_writer.is_finished:
+                # An internal error; whether the request ran is unknown.
                 self._fail(500)
-            self._report(outcome)
-
-    def give_up(self) -> None:
-        """Ends the request with what is true of it: the process is to end."""
-        self._is_given_up = True
-        # A task that is cancelled before its first step never takes one, and
-        # nobody would answer.
-        if self._is_begun:
+            self._log_outcome(outcome)
+
+    def shut_down(self) -> None:
+        """Ends the request with a truthful response before the exit."""
+        self._is_shut_down = True
+        # A task that is cancelled before its first step never runs, so the
+        # caller would get no response.
+        if self._is_started:
             self.task.cancel()
 
-    def _stopped(self) -> str:
-        if self._response_writer.is_over:
+    def _answer_shutdown(self) -> str:
+        if self._response_writer.is_finished:
             return "caller gone"
         self._note = f"{self._note} the stop's time is over".strip()
-        if self._response_writer.is_begun or self._progress.possibly_ran_at:
+        if self._response_writer.is_started or self._history.possibly_ran_at:
             return self._fail(502)
-        self._back_s = 0.0
+        self._retry_after_s = 0.0
         return self._refuse(0.0)
 
-    def _on_gone(self) -> None:
-        # A request that must not run twice is left to its end: it may be
-        # half done, and nobody else will do the other half.
+    def _on_caller_gone(self) -> None:
+        # A request that must not run twice is not cancelled: it may be half
+        # executed, and can't be repeated elsewhere.
         is_once = (
             self._route is not None
             and self._route.kind is serving.RouteKind.AT_MOST_ONCE
@@ -231,7 +238,7 @@
         if not is_once and self.task is not None:
             self.task.cancel()
 
-    def _on_slow(self, is_slow: bool) -> None:
+    def _on_caller_slow(self, is_slow: bool) -> None:
         if self._connection is None:
             return
         if is_slow:
@@ -239,31 +246,31 @@
         else:
             self._connection.resume()
 
-    # -- answers of our own --------------------------------------------
+    # -- responses of the gateway itself -------------------------------
 
     def _refuse(self, retry_after_s: float) -> str:
-        headers = self._owner._http_codec.refusal(
+        headers = self._forwarder._http_codec.refusal(
             self._request.request_id, retry_after_s
         )
-        self._response_writer.whole(503, headers, b"")
+        self._response_writer.send_response(503, headers, b"")
         return "refused"
 
     def _fail(self, status: int) -> str:
-        if self._response_writer.is_begun:
-            self._response_writer.cut()
+        if self._response_writer.is_started:
+            self._response_writer.abort()
             return "cut"
-        headers = self._owner._http_codec.refusal(
+        headers = self._forwarder._http_codec.refusal(
             self._request.request_id, None
         )
-        self._response_writer.whole(status, headers, b"")
+        self._response_writer.send_response(status, headers, b"")
         return f"status {status}"
 
-    # -- the request's way ---------------------------------------------
+    # -- forwarding ----------------------------------------------------
 
     async def _run(self) -> str:
-        if self._is_given_up:
-            return self._stopped()
-        state = self._owner._state
+        if self._is_shut_down:
+            return self._answer_shutdown()
+        state = self._forwarder._state
         if not state.is_ready:
             self._note = "no configuration yet"
             return self._refuse(1.0)
@@ -273,161 +280,167 @@
         if self._route is None:
             self._note = "no route"
             return self._fail(404)
-        stop = self._owner.stop
+        stop = self._forwarder.stop
         if stop is not None and not stop.has_time_for(
             self._route, request.call, self._arrived_s
         ):
             self._note = "stopping"
-            self._back_s = 0.0
+            self._retry_after_s = 0.0
             return self._refuse(0.0)
         if not self._route.targets:
-            # Operators declared no service, or weights of nothing: it has run
-            # nowhere, and may once they declare one.
+            # The route has no service, or weights of zero. The request has
+            # not run and can succeed once operators declare one.
             self._note = "route without targets"
-            return self._refuse(self._back_s)
-        waits_s = self._route.timeout_s
+            return self._refuse(self._retry_after_s)
+        max_wait_s = self._route.timeout_s
         if request.deadline_s is not None:
-            waits_s = min(waits_s, request.deadline_s)
-        self._ends_s = self._arrived_s + waits_s
+            max_wait_s = min(max_wait_s, request.deadline_s)
+        self._deadline_s = self._arrived_s + max_wait_s
         if request.call is not None and self._route.is_model_call:
             self._search = engine_search.EngineSearch(
-                self._owner.engines,
+                self._forwarder.search_context,
                 self._route,
                 request.call,
                 self._arrived_s,
-                self._ends_s,
+                self._deadline_s,
             )
-            self._owner.engines.demand.record_request(
-                self._search.key,
+            self._forwarder.search_context.demand.record_request(
+                self._search.demand_key,
                 self._arrived_s,
                 engine_state.estimate_prefill_s(request.call),
             )
         if self._route.kind is serving.RouteKind.STREAM:
             self._relay = event_relay.EventRelay(self._response_writer)
-        return await self._until_answered()
+        return await self._run_attempts()
 
-    async def _until_answered(self) -> str:
+    async def _run_attempts(self) -> str:
         loop = asyncio.get_running_loop()
-        state = self._owner._state
-        window = state.retry_budget(self._route)
-        window.request(loop.time())
+        state = self._forwarder._state
+        retry_budget = state.retry_budget(self._route)
+        retry_budget.request(loop.time())
         while True:
-            upstream = await self._choose()
+            upstream = await self._choose_upstream()
             if upstream is None:
-                return self._give_up("no upstream")
+                return self._refuse_or_fail("no upstream")
             if self._is_too_late():
                 self._note = f"{self._note} waited into the stop".strip()
-                self._back_s = 0.0
+                self._retry_after_s = 0.0
                 return self._refuse(0.0)
             failure = await self._attempt(upstream)
             match failure:
-                case attempt_lib.CompleteResponse() as whole:
-                    is_last = not self._may_replace(whole)
-                    if is_last:
-                        return self._deliver(whole)
-                    failure = retry_policy.FailedThere(whole.status)
+                case attempt_lib.CompleteResponse() as response:
+                    is_final = not self._may_retry(response)
+                    if is_final:
+                        return self._deliver(response)
+                    failure = retry_policy.FailedThere(response.status)
                 case attempt_lib.StreamCompleted():
                     self._relay.finish()
-                    self._note_place()
+                    self._record_slot_time()
                     return "streamed"
                 case None:
-                    return self._out_of_time()
+                    return self._time_out()
             self._note = f"{self._note} {failure}".strip()
-            self._tried.add(upstream.entry.instance_id)
-            may_spend = self._progress.sends == 0 or window.spend(
+            self._tried_ids.add(upstream.entry.instance_id)
+            may_spend = self._history.sends == 0 or retry_budget.spend(
                 loop.time(), state.instance_count
             )
             match retry_policy.decide_after_failure(
-                self._route, failure, self._progress, may_spend
+                self._route, failure, self._history, may_spend
             ):
                 case retry_policy.NextAction.DELIVER:
-                    return self._deliver(whole)
+                    return self._deliver(response)
                 case retry_policy.NextAction.REFUSE:
-                    return self._give_up("refused everywhere")
+                    return self._refuse_or_fail("refused everywhere")
                 case retry_policy.NextAction.FAIL:
                     return self._fail(502)
 
     def _is_too_late(self) -> bool:
-        """Whether a request that waited here would be cut by the stop's end.
+        """Whether a request that waited would be cut off by the stop's end.
 
-        Only requests to models wait, for seconds; the others were judged a
-        moment ago, as they arrived. What has run anywhere goes on.
+        Only requests to models wait, for seconds; the others were checked on
+        arrival, a moment ago. A request that may have run anywhere continues.
         """
-        stop = self._owner.stop
+        stop = self._forwarder.stop
         if (
             stop is None
             or self._search is None
-            or self._progress.possibly_ran_at
+            or self._history.possibly_ran_at
         ):
             return False
         now_s = asyncio.get_running_loop().time()
         return not stop.has_time_for(self._route, self._request.call, now_s)
 
-    async def _choose(self) -> directory.KnownUpstream | None:
+    async def _choose_upstream(self) -> directory.KnownUpstream | None:
         if self._search is not None:
-            found = await self._search.find(frozenset(self._tried))
+            found = await self._search.find(frozenset(self._tried_ids))
             if found is None:
-                self._back_s = self._search.back_s
+                self._retry_after_s = self._search.retry_after_s
             return found
-        state = self._owner._state
+        state = self._forwarder._state
         now_s = asyncio.get_running_loop().time()
         usable = []
         for target in self._route.targets:
             usable.extend(state.directory.usable(target.service, now_s))
-        fresh = [
-            one for one in usable if one.entry.instance_id not in self._tried
+        untried = [
+            one
+            for one in usable
+            if one.entry.instance_id not in self._tried_ids
         ]
         return service_choice.choose(
-            fresh or usable, state.location, now_s, self._owner._rng
+            untried or usable, state.location, now_s, self._forwarder._rng
         )
 
-    def _may_replace(self, whole: attempt_lib.CompleteResponse) -> bool:
-        """Whether another upstream may be asked instead of this answer."""
+    def _may_retry(self, response: attempt_lib.CompleteResponse) -> bool:
+        """Whether to retry at another upstream instead of responding."""
         return (
-            whole.status >= 500
+            response.status >= 500
             and self._route.is_retry_safe
-            and not self._progress.has_output
+            and not self._history.has_output
         )
 
-    def _deliver(self, whole: attempt_lib.CompleteResponse) -> str:
-        if self._response_writer.is_begun:
+    def _deliver(self, response: attempt_lib.CompleteResponse) -> str:
+        if self._response_writer.is_started:
             return self._fail(502)
-        headers = self._owner._http_codec.caller_response_headers(whole.headers)
-        self._response_writer.whole(whole.status, headers, whole.body)
-        return f"status {whole.status}"
+        headers = self._forwarder._http_codec.caller_response_headers(
+            response.headers
+        )
+        self._response_writer.send_response(
+            response.status, headers, response.body
+        )
+        return f"status {response.status}"
 
-    def _give_up(self, why: str) -> str:
+    def _refuse_or_fail(self, why: str) -> str:
         self._note = f"{self._note} {why}".strip()
-        if self._progress.possibly_ran_at:
+        if self._history.possibly_ran_at:
             return self._fail(502)
-        return self._refuse(self._back_s)
+        return self._refuse(self._retry_after_s)
 
-    def _out_of_time(self) -> str:
-        if self._response_writer.is_begun:
-            self._response_writer.cut()
+    def _time_out(self) -> str:
+        if self._response_writer.is_started:
+            self._response_writer.abort()
             return "cut at its time"
-        if self._progress.possibly_ran_at:
+        if self._history.possibly_ran_at:
             return self._fail(504)
-        return self._refuse(RETRY_AFTER_S)
+        return self._refuse(DEFAULT_RETRY_AFTER_S)
 
     async def _attempt(
         self, upstream: directory.KnownUpstream
     ) -> attempt_lib.Outcome | None:
-        """Sends the request once; None when its time is over."""
+        """Sends the request once; returns None when its deadline passed."""
         loop = asyncio.get_running_loop()
-        left_s = self._ends_s - loop.time()
+        left_s = self._deadline_s - loop.time()
         if left_s <= 0:
             return None
         address = upstream.entry.address
         self._upstream = upstream
-        self._progress.tries += 1
+        self._history.tries += 1
         upstream.own_running += 1
-        begun_s = loop.time()
-        prefill_tracker = self._begin_prompt(upstream)
+        started_s = loop.time()
+        prefill_tracker = self._begin_prefill(upstream)
         try:
             try:
-                connection = await self._owner._connection_pool.take(
-                    address, begun_s, left_s
+                connection = await self._forwarder._connection_pool.acquire(
+                    address, started_s, left_s
                 )
             except OSError as error:
                 upstream.health.record_failure(loop.time())
@@ -435,17 +448,17 @@
                     upstream.reachability.record_refusal(loop.time())
                 else:
                     upstream.reachability.record_timeout(loop.time())
-                self._owner._connection_pool.drop(address)
+                self._forwarder._connection_pool.close_idle(address)
                 return retry_policy.NotSent(str(error) or type(error).__name__)
             outcome = await self._send(upstream, connection)
         finally:
             upstream.own_running -= 1
             if prefill_tracker is not None:
                 prefill_tracker.end()
-        self._learn(upstream, outcome, loop.time() - begun_s)
+        self._record_outcome(upstream, outcome, loop.time() - started_s)
         return outcome
 
-    def _begin_prompt(
+    def _begin_prefill(
         self, upstream: directory.KnownUpstream
     ) -> prefill_tracker_lib.PrefillTracker | None:
         if self._search is None or self._search.choice is None:
@@ -453,12 +466,12 @@
         prefill_tracker = prefill_tracker_lib.PrefillTracker(
             self._search.choice,
             self._request.call,
-            self._owner.uses,
-            self._search.release,
+            self._forwarder.uses,
+            self._search.release_permit,
         )
         if self._relay is not None:
             self._relay.upstream = upstream
-            self._relay.on_first = prefill_tracker.first_event
+            self._relay.on_first_event = prefill_tracker.on_first_event
         return prefill_tracker
 
     async def _send(
@@ -469,53 +482,53 @@
         loop = asyncio.get_running_loop()
         entry = upstream.entry
         request = self._request
-        left_s = self._ends_s - loop.time()
+        left_s = self._deadline_s - loop.time()
         if left_s <= 0:
-            self._owner._connection_pool.give(entry.address, connection)
+            self._forwarder._connection_pool.release(entry.address, connection)
             return None
-        one = attempt_lib.Attempt(
+        attempt = attempt_lib.Attempt(
             loop,
             request.request_id,
             entry.instance_id,
             self._relay,
-            self._owner._http_codec,
+            self._forwarder._http_codec,
         )
-        passing = http_codec_lib.ForwardContext(
+        forward_context = http_codec_lib.ForwardContext(
             entry.instance_id,
             left_s,
             self._route.urgency if self._route.is_model_call else None,
-            self._relay.last_id if self._relay else "",
+            self._relay.last_event_id if self._relay else "",
         )
-        headers = self._owner._http_codec.upstream_request_headers(
-            request, passing
+        headers = self._forwarder._http_codec.upstream_request_headers(
+            request, forward_context
         )
         self._connection = connection
-        self._progress.sends += 1
-        self._progress.possibly_ran_at.add(entry.instance_id)
+        self._history.sends += 1
+        self._history.possibly_ran_at.add(entry.instance_id)
         connection.send(
             client_connection.encode_request(
                 request.method, request.path, headers, request.body
             ),
-            one,
+            attempt,
         )
-        await asyncio.wait([one.ended], timeout=left_s)
-        if not one.ended.done():
+        await asyncio.wait([attempt.outcome_future], timeout=left_s)
+        if not attempt.outcome_future.done():
             connection.abort()
             self._connection = None
             return None
         self._connection = None
-        outcome = one.ended.result()
+        outcome = attempt.outcome_future.result()
         if isinstance(outcome, retry_policy.NotRun):
-            self._progress.possibly_ran_at.discard(entry.instance_id)
-        if self._relay is not None and self._relay.events:
-            self._progress.has_output = True
+            self._history.possibly_ran_at.discard(entry.instance_id)
+        if self._relay is not None and self._relay.event_count:
+            self._history.has_output = True
         if isinstance(outcome, retry_policy.Lost):
             connection.abort()
         else:
-            self._owner._connection_pool.give(entry.address, connection)
+            self._forwarder._connection_pool.release(entry.address, connection)
         return outcome
 
-    def _learn(
+    def _record_outcome(
         self,
         upstream: directory.KnownUpstream,
         outcome: attempt_lib.Outcome | None,
@@ -540,89 +553,92 @@
                 if call is not None:
                     upstream.engine.absent[call.target] = now_s
             case retry_policy.NotRun(is_other=True):
-                self._owner._state.directory.replaced(
+                self._forwarder._state.directory.replaced(
                     upstream.entry.instance_id
                 )
             case retry_policy.NotRun() | retry_policy.Lost():
                 upstream.health.record_failure(now_s)
 
-    def _note_place(self) -> None:
-        """Tells how long the request took a place in an engine's batch."""
+    def _record_slot_time(self) -> None:
+        """Records how long the request occupied a slot of an engine's batch."""
         search = self._search
         if search is None:
             return
         took_s = asyncio.get_running_loop().time() - self._arrived_s
-        self._owner.engines.demand.record_service_time(
-            search.key, max(0.0, took_s - search.held_s)
+        self._forwarder.search_context.demand.record_service_time(
+            search.demand_key, max(0.0, took_s - search.total_wait_s)
         )
 
-    def _note_lateness(self) -> None:
-        """Tells whether the engines of a model keep up with its requests.
+    def _record_lateness(self) -> None:
+        """Records whether a model's engines keep up with its requests.
 
-        A request that waited until its model was loaded says nothing of that.
+        A request that waited for its model to be loaded doesn't count.
         """
         search = self._search
         relay = self._relay
         if search is None or relay is None or search.choice is None:
             return
-        if search.waited_s > WAITED_S:
+        if search.model_wait_s > MAX_LATENESS_WAIT_S:
             return
-        first_s = math.inf
-        if relay.first_s is not None:
-            first_s = relay.first_s - self._arrived_s
+        first_event_s = math.inf
+        if relay.first_event_s is not None:
+            first_event_s = relay.first_event_s - self._arrived_s
         was_late = (
-            first_s > self._route.objective_s or relay.gap_s > self._route.gap_s
+            first_event_s > self._route.objective_s
+            or relay.max_gap_s > self._route.gap_s
+        )
+        self._forwarder.search_context.demand.record_outcome(
+            search.demand_key, was_late
         )
-        self._owner.engines.demand.record_outcome(search.key, was_late)
 
-    def _report(self, outcome: str) -> None:
+    def _log_outcome(self, outcome: str) -> None:
         took_s = asyncio.get_running_loop().time() - self._arrived_s
-        self._note_lateness()
+        self._record_lateness()
         route = self._route.name if self._route else ""
-        self._owner._metrics.count(
+        self._forwarder._metrics.count(
             "sesamecross_requests_total",
             "Requests of callers, by outcome.",
             {"outcome": outcome},
         )
-        self._owner._metrics.observe(
+        self._forwarder._metrics.observe(
             "sesamecross_request_seconds",
             "From a request's arrival to the end of its answer.",
             {},
             took_s,
         )
         upstream = self._upstream
-        self._owner._log.info(
+        self._forwarder._log.info(
             outcome,
             id=self._request.request_id,
             route=route,
             upstream=upstream.entry.instance_id if upstream else "",
-            sends=self._progress.sends,
+            sends=self._history.sends,
             ms=round(took_s * 1000),
             note=self._note,
-            config=self._owner._state.version,
+            config=self._forwarder._state.version,
             **self._refusal_fields(outcome),
             **self._engine_fields(),
         )
 
     def _refusal_fields(self, outcome: str) -> dict[str, object]:
-        """When a refused caller comes back, and what that rests on."""
+        """Returns a refusal's retry delay and its grounds."""
         if outcome != "refused":
             return {}
-        fields: dict[str, object] = {"back_s": round(self._back_s, 2)}
+        fields: dict[str, object] = {"back_s": round(self._retry_after_s, 2)}
         if self._search is not None:
             fields |= self._search.refusal_fields()
         return fields
 
     def _engine_fields(self) -> dict[str, object]:
-        """What decided where a model's request went, and what came of it."""
+        """Returns the engine selection and event timing of a model request."""
         if self._search is None:
             return {}
-        fields = self._search.fields()
-        if self._relay is not None and self._relay.first_s is not None:
-            first_s = self._relay.first_s - self._arrived_s
-            fields["first_ms"] = round(first_s * 1000)
-            fields["events"] = self._relay.events
-            fields["gap_ms"] = round(self._relay.gap_s * 1000)
-            gap_at_s = self._relay.gap_at_s - self._arrived_s
-            fields["gap_at_ms"] = round(gap_at_s * 1000)
+        fields = self._search.log_fields()
+        if self._relay is not None and self._relay.first_event_s is not None:
+            first_event_s = self._relay.first_event_s - self._arrived_s
+            fields["first_ms"] = round(first_event_s * 1000)
+            fields["events"] = self._relay.event_count
+            fields["gap_ms"] = round(self._relay.max_gap_s * 1000)
+            max_gap_at_s = self._relay.max_gap_at_s - self._arrived_s
+            fields["gap_at_ms"] = round(max_gap_at_s * 1000)
         return fields
--- a/sesamecross/gateway/listener.py
+++ b/sesamecross/gateway/listener.py
@@ -1,23 +1,24 @@
-"""Listens for HTTP connections at one address, as a component."""
+"""Component that listens for HTTP connections at one address."""
 
 import asyncio
 
 from sesamecross.gateway import server_connection
 
-# Connections that wait to be accepted. The platform's balancer hands over
-# all of a zone's callers at once when another instance stops.
-BACKLOG = 1024
-# How often an end looks whether all connections are gone.
-_POLL_S = 0.02
+# Length of the accept queue. When another instance stops, the platform's
+# load balancer moves all callers of a zone here at once.
+ACCEPT_BACKLOG = 1024
+# Interval at which a shutdown checks for remaining connections.
+_POLL_INTERVAL_S = 0.02
 
 
 class Listener:
-    """Accepts connections and gives them a handler.
+    """Accepts connections whose requests go to a handler.
 
     Attributes:
-      is_vital: Whether the process ends where it can't listen. One that
-        callers need is vital.
-      is_helper: The opposite; it is tried again for ever.
+      is_vital: Whether the process ends if it can't listen. True where callers
+        depend on it.
+      is_helper: The opposite: it is restarted however often it fails.
+      connections: The open connections.
     """
 
     __slots__ = (
@@ -34,7 +35,7 @@
         self,
         name: str,
         address: str,
-        handler: server_connection.Handler,
+        handler: server_connection.RequestHandler,
         is_vital: bool = True,
     ):
         self.name = name
@@ -43,11 +44,11 @@
         self._address = address
         self._handler = handler
         self._server: asyncio.Server | None = None
-        self.connections: set[server_connection.FrontConnection] = set()
+        self.connections: set[server_connection.ServerConnection] = set()
 
     @property
     def address(self) -> str:
-        """Where it listens, once it does; empty before."""
+        """The bound address; empty until it listens."""
         if self._server is None or not self._server.sockets:
             return ""
         host, port = self._server.sockets[0].getsockname()[:2]
@@ -55,7 +56,7 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request is being read or answered, or an answer leaves."""
+        """Whether a request is being read or handled, or a response sent."""
         return any(connection.is_busy for connection in self.connections)
 
     async def run(self) -> None:
@@ -63,56 +64,56 @@
         loop = asyncio.get_running_loop()
         host, _, port = self._address.rpartition(":")
         self._server = await loop.create_server(
-            lambda: server_connection.FrontConnection(
+            lambda: server_connection.ServerConnection(
                 self._handler, loop, self.connections
             ),
             host,
             int(port),
-            backlog=BACKLOG,
+            backlog=ACCEPT_BACKLOG,
             reuse_address=True,
         )
         await asyncio.Event().wait()
 
-    async def end(self, within_s: float) -> None:
-        """Accepts no more, and lets the connections come to their end.
+    async def shut_down(self, timeout_s: float) -> None:
+        """Stops accepting, and waits for the connections to end.
 
-        Requests that are read by now are still answered, by a handler that
-        refuses; those that are half there are refused here. Answers under way
-        go out meanwhile. A connection that the kernel takes in as the port
-        closes is reset unread, and its caller can tell that.
+        Requests already read are still passed to the handler, which refuses
+        them; partially read ones are refused here. Responses in progress go
+        on being sent meanwhile. A connection that the kernel accepts while
+        the port closes is reset unread, which its caller can recognise.
         """
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + within_s
-        # Who was told that it is connected waits in a queue, and would be
-        # reset if the port closed first.
-        await _turn()
+        deadline_s = loop.time() + timeout_s
+        # Connections in the accept queue look established to their callers,
+        # and would be reset if the port closed first.
+        await _process_ready_events()
         if self._server is not None:
             self._server.close()
         for connection in self.connections:
-            connection.refuse_half()
+            connection.reject_partial_request()
         self.close_idle()
-        while self.connections and loop.time() < until_s:
-            await asyncio.sleep(_POLL_S)
+        while self.connections and loop.time() < deadline_s:
+            await asyncio.sleep(_POLL_INTERVAL_S)
             self.close_idle()
 
     async def stop(self) -> None:
-        """Accepts no more, and closes what is idle."""
+        """Stops accepting, and closes idle connections."""
         if self._server is not None:
             self._server.close()
         self.close_idle()
-        await _turn()
+        await _process_ready_events()
 
     def close_idle(self) -> None:
-        """Closes connections on which nothing is asked, behind one turn."""
+        """Closes connections without a request, after one more read."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
 
-async def _turn() -> None:
-    """Lets the loop handle whatever the sockets hold at this moment.
+async def _process_ready_events() -> None:
+    """Lets the event loop handle all data that is ready on the sockets.
 
-    A task that yields once goes on before the events that were found
-    meanwhile; only the second time they have been handled.
+    A task that yields once resumes before the events polled meanwhile are
+    handled; after a second yield they have been.
     """
     await asyncio.sleep(0)
     await asyncio.sleep(0)
--- a/sesamecross/gateway/pacing.py
+++ b/sesamecross/gateway/pacing.py
@@ -1,4 +1,8 @@
-"""Asks the instance that paces an engine, and answers for those paced here."""
+"""Admission of prompts to engines: client and server side.
+
+Each engine has one pacer, an instance chosen by rendezvous hashing. All
+instances request a permit from it before they send a prompt to the engine.
+"""
 
 import asyncio
 import dataclasses
@@ -10,23 +14,35 @@
 from sesamecross.ops.fleet import pacer as pacer_lib
 from sesamecross.utils import rendezvous
 
-# An ask without any answer is repeated after the way there and back and this
-# much, and given up after the second: then the request goes without.
-ANSWER_S = 0.04
-TRIES = 2
-SWEEP_S = 0.25
+# An admission request without any reply is repeated after the round trip plus
+# this margin. After `REQUEST_ATTEMPTS` without a reply the prompt is sent
+# without a permit.
+ACK_MARGIN_S = 0.04
+REQUEST_ATTEMPTS = 2
+SWEEP_INTERVAL_S = 0.25
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Refused:
-    """The engine has more to read than it can while the caller waits."""
+class PermitRefused:
+    """The engine can't read the prompt while the caller waits.
+
+    Attributes:
+      after_s: After how long the caller should retry.
+    """
 
     after_s: float
 
 
 @dataclasses.dataclass(slots=True)
 class Permit:
-    """One request's leave to have its prompt read."""
+    """Permission for one request to send its prompt to an engine.
+
+    Attributes:
+      upstream: The engine.
+      number: The number of the admission request.
+      pacer: Name of the instance that granted it; empty if there was none.
+      is_open: Whether the pacer has yet to be told of its release.
+    """
 
     upstream: str
     number: int
@@ -35,7 +51,7 @@
 
 
 class Pacing:
-    """Component: both sides of pacing."""
+    """Component for both sides of pacing: requesting and granting."""
 
     is_vital = False
     name = "pacing"
@@ -45,123 +61,136 @@
         self._mesh = mesh
         self._pacers: dict[str, pacer_lib.Pacer] = {}
         self._timers: dict[str, asyncio.TimerHandle] = {}
-        self._asked: dict[int, asyncio.Future[fm.AdmissionReply]] = {}
-        # Asks that their pacer has heard and not granted yet.
-        self._heard: set[int] = set()
-        # Instances that said that they stop, or this one, by name: which life.
-        # They count as alive for a second more, and would be asked in vain.
-        self._left: dict[str, int] = {}
+        self._pending_requests: dict[
+            int, asyncio.Future[fm.AdmissionReply]
+        ] = {}
+        # Admission requests that their pacer acknowledged and has not decided.
+        self._acknowledged: set[int] = set()
+        # Incarnations of instances that announced their stop, this one
+        # included, by name. The failure detector takes them for alive for
+        # another second, in which no request must be sent to them.
+        self._departed: dict[str, int] = {}
         mesh.add_listener(self._on_message)
 
     async def run(self) -> None:
-        """Grants what lost reports hold back, and forgets idle engines."""
+        """Expires unreleased permits and removes idle engines, periodically.
+
+        A permit stays unreleased if the message that releases it was lost.
+        """
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             for upstream in list(self._pacers):
                 self._grant(upstream)
                 if self._pacers[upstream].is_idle:
                     del self._pacers[upstream]
 
     async def stop(self) -> None:
-        """Tells all that wait here to ask whoever decides next.
+        """Redirects all waiting admission requests to the next pacer.
 
-        They were told that they were heard, and would wait for nothing until
-        they are refused. They don't go without a turn: that many prompts at
-        once would make one long pause for every stream in the batch. They are
-        told in the order of their turns, and each bears its own time to spare,
-        so that the next one grants them in this order too.
+        They were acknowledged, so they would wait here until they are refused.
+        They aren't granted all at once either: that many prompts would cause
+        one long pause in every stream of the batch. They are redirected in
+        queue order, and each new request carries its slack, so that the next
+        pacer grants them in the same order.
         """
         if self._mesh.roster is None:
             return
         now_s = asyncio.get_running_loop().time()
-        self._note_left(self._mesh.me)
+        self._record_departure(self._mesh.me)
         pacers, self._pacers = self._pacers, {}
         for timer in self._timers.values():
             timer.cancel()
         self._timers.clear()
         for pacer in pacers.values():
             for name, number in pacer.waiting(now_s):
-                self._tell_leave(name, number)
+                self._send_leave(name, number)
 
-    # -- asking --------------------------------------------------------
+    # -- requesting ----------------------------------------------------
 
-    async def ask(
+    async def acquire(
         self,
         known: directory_lib.KnownUpstream,
         tokens: int,
         due_s: float,
         until_s: float,
-    ) -> Permit | Refused:
-        """Waits for leave to send.
+    ) -> Permit | PermitRefused:
+        """Waits for a permit to send a prompt.
 
         Args:
           known: The engine.
-          tokens: What it has to read.
-          due_s: Until when the request has to be sent to be on time.
-          until_s: Until when waiting makes sense.
+          tokens: Prompt tokens that it has to read.
+          due_s: Loop time by which the request has to be sent to be on time.
+          until_s: Loop time after which waiting is of no use.
         """
         while True:
             pacer = self._pacer_of(known)
             if pacer is None:
                 upstream = known.entry.instance_id
                 return Permit(upstream, 0, "", is_open=False)
-            answer = await self._ask_one(pacer, known, tokens, due_s, until_s)
-            if answer is not None:
-                return answer
+            result = await self._request_permit(
+                pacer, known, tokens, due_s, until_s
+            )
+            if result is not None:
+                return result
 
-    async def _ask_one(
+    async def _request_permit(
         self,
         pacer: str,
         known: directory_lib.KnownUpstream,
         tokens: int,
         due_s: float,
         until_s: float,
-    ) -> Permit | Refused | None:
-        """Asks one instance; None where it stops, and another is to be asked.
+    ) -> Permit | PermitRefused | None:
+        """Requests a permit from one pacer; returns None if the pacer stops.
 
-        It is asked no more then, so that a search ends after all of them.
+        Another pacer must be chosen then. A stopping one is not chosen again,
+        so the search terminates.
         """
         upstream = known.entry.instance_id
         loop = asyncio.get_running_loop()
         number = self._mesh.next_number()
         permit = Permit(upstream, number, pacer)
-        granted: asyncio.Future[fm.AdmissionReply] = loop.create_future()
-        self._asked[number] = granted
+        reply: asyncio.Future[fm.AdmissionReply] = loop.create_future()
+        self._pending_requests[number] = reply
         round_trip_s = self._state.location.round_trip_s(known.entry.zone)
         try:
-            for _ in range(TRIES):
-                self._send_ask(permit, tokens, due_s, until_s)
-                wait_s = min(round_trip_s + ANSWER_S, until_s - loop.time())
-                await asyncio.wait([granted], timeout=max(0.0, wait_s))
-                if granted.done() or number in self._heard:
+            for _ in range(REQUEST_ATTEMPTS):
+                self._send_request(permit, tokens, due_s, until_s)
+                wait_s = min(round_trip_s + ACK_MARGIN_S, until_s - loop.time())
+                await asyncio.wait([reply], timeout=max(0.0, wait_s))
+                if reply.done() or number in self._acknowledged:
                     break
-            if not granted.done() and number not in self._heard:
-                # Nobody paces this engine just now.
+            if not reply.done() and number not in self._acknowledged:
+                # No reply: this engine has no working pacer at the moment.
                 permit.is_open = False
                 return permit
             left_s = until_s - loop.time()
-            await asyncio.wait([granted], timeout=max(0.0, left_s))
+            await asyncio.wait([reply], timeout=max(0.0, left_s))
         except asyncio.CancelledError:
-            self.read(permit)
+            self.release(permit)
             raise
         finally:
-            self._asked.pop(number, None)
-            self._heard.discard(number)
-        if not granted.done():
-            self.read(permit)
-            return Refused(pacer_lib.OVERLOAD_RETRY_AFTER_S)
-        match granted.result():
+            self._pending_requests.pop(number, None)
+            self._acknowledged.discard(number)
+        if not reply.done():
+            self.release(permit)
+            return PermitRefused(pacer_lib.OVERLOAD_RETRY_AFTER_S)
+        match reply.result():
             case fm.AdmissionReply(
                 verdict=fm.AdmissionDecision.REFUSE, after_s=after_s
             ):
                 permit.is_open = False
-                return Refused(after_s)
+                return PermitRefused(after_s)
             case fm.AdmissionReply(verdict=fm.AdmissionDecision.LEAVING):
                 return None
         return permit
 
     def _pacer_of(self, known: directory_lib.KnownUpstream) -> str | None:
-        """Returns who paces an engine: the same for all instances."""
+        """Returns the pacer of an engine, by rendezvous hashing.
+
+        Instances in the engine's zone are preferred, then those in its region.
+        All instances with the same membership view get the same result.
+        """
         roster = self._mesh.roster
         if roster is None or self._mesh.transport is None:
             return None
@@ -169,7 +198,7 @@
         members = [
             member
             for member in (*roster.alive(now_s), roster.me)
-            if not self._has_left(member)
+            if not self._has_departed(member)
         ]
         if not members:
             return None
@@ -182,17 +211,17 @@
         names = [member.name for member in near or members]
         return rendezvous.top(f"pacer/{known.entry.instance_id}", names, 1)[0]
 
-    def _note_left(self, member: fm.Member) -> None:
-        self._left[member.name] = member.incarnation
+    def _record_departure(self, member: fm.Member) -> None:
+        self._departed[member.name] = member.incarnation
 
-    def _has_left(self, member: fm.Member) -> bool:
-        return self._left.get(member.name) == member.incarnation
+    def _has_departed(self, member: fm.Member) -> bool:
+        return self._departed.get(member.name) == member.incarnation
 
-    def _send_ask(
+    def _send_request(
         self, permit: Permit, tokens: int, due_s: float, until_s: float
     ) -> None:
         now_s = asyncio.get_running_loop().time()
-        ask = fm.AdmissionRequest(
+        request = fm.AdmissionRequest(
             self._mesh.me,
             permit.number,
             permit.upstream,
@@ -200,7 +229,7 @@
             round(due_s - now_s, 3),
             round(until_s - now_s, 3),
         )
-        self._send(ask, permit.pacer)
+        self._send(request, permit.pacer)
 
     def _send(
         self,
@@ -214,8 +243,8 @@
         if member is not None:
             self._mesh.send(message, member)
 
-    def read(self, permit: Permit) -> None:
-        """The prompt was read, or will not be sent."""
+    def release(self, permit: Permit) -> None:
+        """Releases a permit: the prompt was read, or will not be sent."""
         if not permit.is_open:
             return
         permit.is_open = False
@@ -224,12 +253,12 @@
         )
         self._send(message, permit.pacer)
 
-    # -- pacing --------------------------------------------------------
+    # -- granting ------------------------------------------------------
 
     def _on_message(self, message: fm.Message) -> None:
         match message:
             case fm.AdmissionRequest():
-                self._on_ask(message)
+                self._on_request(message)
             case fm.AdmissionRelease(me=me, number=number, upstream=upstream):
                 pacer = self._pacers.get(upstream)
                 if pacer is not None:
@@ -237,19 +266,19 @@
                     self._grant(upstream)
             case fm.AdmissionReply(me=me, number=number, verdict=verdict):
                 if verdict is fm.AdmissionDecision.LEAVING:
-                    self._note_left(me)
-                asked = self._asked.get(number)
-                if asked is None or asked.done():
+                    self._record_departure(me)
+                pending = self._pending_requests.get(number)
+                if pending is None or pending.done():
                     return
                 if verdict is fm.AdmissionDecision.WAIT:
-                    self._heard.add(number)
+                    self._acknowledged.add(number)
                 else:
-                    asked.set_result(message)
+                    pending.set_result(message)
 
-    def _on_ask(self, message: fm.AdmissionRequest) -> None:
-        if self._has_left(self._mesh.me):
-            # The others' asks arrive until the port is closed.
-            self._tell_leave(message.me.name, message.number)
+    def _on_request(self, message: fm.AdmissionRequest) -> None:
+        if self._has_departed(self._mesh.me):
+            # Requests from other instances arrive until the port is closed.
+            self._send_leave(message.me.name, message.number)
             return
         now_s = asyncio.get_running_loop().time()
         upstream = message.upstream
@@ -264,16 +293,16 @@
             now_s,
         )
         if key not in decisions.granted and key not in decisions.refused:
-            heard = fm.AdmissionReply(
+            acknowledgement = fm.AdmissionReply(
                 self._mesh.me, message.number, fm.AdmissionDecision.WAIT
             )
-            self._send(heard, message.me.name)
-        self._tell(upstream, decisions)
+            self._send(acknowledgement, message.me.name)
+        self._send_decisions(upstream, decisions)
 
     def _grant(self, upstream: str) -> None:
         now_s = asyncio.get_running_loop().time()
         decisions = self._pacers[upstream].grant(self._batch(upstream), now_s)
-        self._tell(upstream, decisions)
+        self._send_decisions(upstream, decisions)
 
     def _batch(self, upstream: str) -> pacer_lib.Batch:
         known = self._state.directory.get(upstream)
@@ -281,23 +310,25 @@
             return pacer_lib.Batch(0.0, 1)
         return pacer_lib.Batch(known.running, known.entry.slots)
 
-    def _tell(self, upstream: str, decisions: pacer_lib.Decisions) -> None:
+    def _send_decisions(
+        self, upstream: str, decisions: pacer_lib.Decisions
+    ) -> None:
         me = self._mesh.me
         for name, number in decisions.granted:
             self._send(
                 fm.AdmissionReply(me, number, fm.AdmissionDecision.SEND), name
             )
         for name, number in decisions.refused:
-            back_s = pacer_lib.OVERLOAD_RETRY_AFTER_S
+            retry_after_s = pacer_lib.OVERLOAD_RETRY_AFTER_S
             self._send(
                 fm.AdmissionReply(
-                    me, number, fm.AdmissionDecision.REFUSE, back_s
+                    me, number, fm.AdmissionDecision.REFUSE, retry_after_s
                 ),
                 name,
             )
-        self._look_again(upstream)
+        self._schedule_grant(upstream)
 
-    def _tell_leave(self, name: str, number: int) -> None:
+    def _send_leave(self, name: str, number: int) -> None:
         self._send(
             fm.AdmissionReply(
                 self._mesh.me, number, fm.AdmissionDecision.LEAVING
@@ -305,17 +336,19 @@
             name,
         )
 
-    def _look_again(self, upstream: str) -> None:
-        """Looks at an engine's asks when the next one may go."""
+    def _schedule_grant(self, upstream: str) -> None:
+        """Schedules the next grant of an engine's waiting requests."""
         loop = asyncio.get_running_loop()
         pacer = self._pacers.get(upstream)
         if pacer is None or upstream in self._timers:
             return
         at_s = pacer.next_check_s(loop.time())
         if at_s is not None:
-            self._timers[upstream] = loop.call_at(at_s, self._on_time, upstream)
+            self._timers[upstream] = loop.call_at(
+                at_s, self._on_grant_due, upstream
+            )
 
-    def _on_time(self, upstream: str) -> None:
+    def _on_grant_due(self, upstream: str) -> None:
         del self._timers[upstream]
         if upstream in self._pacers:
             self._grant(upstream)
--- a/sesamecross/gateway/pacing_test.py
+++ b/sesamecross/gateway/pacing_test.py
@@ -23,14 +23,14 @@
 class _Mesh:
     """Hands messages to the others at once."""
 
-    def __init__(self, name: str, net: dict[str, "_Mesh"]):
+    def __init__(self, name: str, meshes_by_name: dict[str, "_Mesh"]):
         self.me = fm.Member(name, 7, "z1", "127.0.0.1:7380", 0, 0)
         self.roster = roster_lib.Roster(self.me, NOW_S)
         self.transport = object()
-        self._net = net
+        self._meshes_by_name = meshes_by_name
         self._listeners = []
         self._number = 0
-        net[name] = self
+        meshes_by_name[name] = self
 
     def add_listener(self, listener) -> None:
         self._listeners.append(listener)
@@ -40,7 +40,7 @@
         return self._number
 
     def send(self, message: fm.Message, member: fm.Member) -> None:
-        for listener in self._net[member.name]._listeners:
+        for listener in self._meshes_by_name[member.name]._listeners:
             listener(message)
 
 
@@ -58,23 +58,23 @@
                 regions={"z1": "r1"}, round_trip_s=lambda _: 0.0
             ),
         )
-        net: dict[str, _Mesh] = {}
-        meshes = [_Mesh(name, net) for name in NAMES]
+        meshes_by_name: dict[str, _Mesh] = {}
+        meshes = [_Mesh(name, meshes_by_name) for name in NAMES]
         for mesh in meshes:
             for other in meshes:
                 mesh.roster.heard(other.me, NOW_S)
-        self.of = {
+        self.pacing_by_name = {
             mesh.me.name: pacing_lib.Pacing(state, mesh) for mesh in meshes
         }
 
     def ask(self, name: str, spare_s: float) -> asyncio.Task:
-        asked = self.of[name].ask(
+        asked = self.pacing_by_name[name].acquire(
             self.engine, 100, NOW_S + spare_s, NOW_S + 1.7
         )
         return asyncio.create_task(asked)
 
 
-def play(work) -> object:
+def run_scenario(work) -> object:
     """Runs a test while its clock stands still: no wait runs out."""
     loop = asyncio.new_event_loop()
     loop.time = lambda: NOW_S
@@ -84,13 +84,13 @@
         loop.close()
 
 
-async def settle() -> None:
+async def run_pending_tasks() -> None:
     for _ in range(20):
         await asyncio.sleep(0)
 
 
 # Who asks, and the time to spare of each ask; places; who may send at once.
-STOPS = [
+STOP_CASES = [
     pytest.param([("i2", 0.5)], 16, [0], id="the next one's own"),
     pytest.param([("i3", 0.5)], 16, [0], id="a third one's"),
     pytest.param([("i1", 0.5)], 16, [0], id="the stopping one's own"),
@@ -100,8 +100,8 @@
 ]
 
 
-@pytest.mark.parametrize(("asks", "slots", "sent"), STOPS)
-def test_who_waits_for_a_turn_asks_the_next_when_its_giver_stops(
+@pytest.mark.parametrize(("asks", "slots", "sent"), STOP_CASES)
+def test_waiting_asks_move_to_the_next_pacer_when_theirs_stops(
     asks, slots, sent
 ):
     """A request was held for 1.7 s and refused, though its engine had room.
@@ -114,47 +114,47 @@
     async def stop():
         fleet = _Fleet(slots)
         tasks = [fleet.ask(*one) for one in asks]
-        await settle()
+        await run_pending_tasks()
         assert not any(task.done() for task in tasks)
         fleet.engine.running = 0
-        await fleet.of["i1"].stop()
-        await settle()
+        await fleet.pacing_by_name["i1"].stop()
+        await run_pending_tasks()
         done = [i for i, task in enumerate(tasks) if task.done()]
         permits = [tasks[i].result() for i in done]
         for task in tasks:
             task.cancel()
-        await settle()
+        await run_pending_tasks()
         return done, [(one.pacer, one.is_open) for one in permits]
 
     # The next one gave the turns, by its own count.
-    assert play(stop()) == (sent, [("i2", True)] * len(sent))
+    assert run_scenario(stop()) == (sent, [("i2", True)] * len(sent))
 
 
 @pytest.mark.parametrize("asker", NAMES)
-def test_who_asks_an_instance_that_stops_asks_the_next(asker):
+def test_an_ask_to_a_stopping_pacer_moves_to_the_next(asker):
     """Where its stop takes long it went on to give turns and keep waits."""
 
     async def stop():
         fleet = _Fleet(16)
-        await fleet.of["i1"].stop()
+        await fleet.pacing_by_name["i1"].stop()
         fleet.engine.running = 0
         task = fleet.ask(asker, 0.5)
-        await settle()
+        await run_pending_tasks()
         assert task.done()
         return task.result().pacer
 
-    assert play(stop()) == "i2"
+    assert run_scenario(stop()) == "i2"
 
 
-def test_where_all_stop_requests_go_without_a_turn():
+def test_requests_are_sent_without_a_permit_when_all_pacers_stop():
     async def stop():
         fleet = _Fleet(16)
         task = fleet.ask("i3", 0.5)
-        await settle()
-        for one in fleet.of.values():
+        await run_pending_tasks()
+        for one in fleet.pacing_by_name.values():
             await one.stop()
-        await settle()
+        await run_pending_tasks()
         assert task.done()
         return task.result().is_open
 
-    assert play(stop()) is False
+    assert run_scenario(stop()) is False
--- a/sesamecross/gateway/prefill_tracker.py
+++ b/sesamecross/gateway/prefill_tracker.py
@@ -1,7 +1,7 @@
-"""A prompt that an engine has to read, counted until its first event.
+"""Accounts for a prompt that an engine has to read, until the first event.
 
-Why: what an engine still has to read decides how long the next request waits
-there, and the time until a first event teaches how fast it reads.
+The prompt tokens that an engine has yet to read determine how long the next
+request waits there; the time to the first event measures its prefill speed.
 """
 
 import asyncio
@@ -14,21 +14,22 @@
 
 
 class PrefillTracker:
-    """One attempt's prompt at an engine.
+    """Accounts for the prompt of one attempt at an engine.
 
     Attributes:
-      on_read: Called once the prompt was read or the attempt is over.
+      on_prefill_done: Called once, when the prompt was read or the attempt is
+        over.
     """
 
     __slots__ = (
-        "on_read",
+        "on_prefill_done",
         "_upstream",
         "_call",
         "_uses",
         "_tokens",
-        "_ahead",
-        "_begun_s",
-        "_is_read",
+        "_ahead_tokens",
+        "_started_s",
+        "_is_prefilled",
     )
 
     def __init__(
@@ -36,40 +37,42 @@
         choice: engine_choice.Choice,
         call: serving.ModelCall,
         uses: target_uses.TargetUses,
-        on_read: Callable[[], None],
+        on_prefill_done: Callable[[], None],
     ):
-        self.on_read = on_read
+        self.on_prefill_done = on_prefill_done
         self._upstream: directory.KnownUpstream = choice.upstream
         self._call = call
         self._uses = uses
         self._tokens = choice.uncached_tokens
         engine = choice.upstream.engine
-        self._ahead = engine.own_prompt_tokens + engine.others_prompt_tokens
-        self._begun_s = asyncio.get_running_loop().time()
-        self._is_read = False
+        self._ahead_tokens = (
+            engine.own_prompt_tokens + engine.others_prompt_tokens
+        )
+        self._started_s = asyncio.get_running_loop().time()
+        self._is_prefilled = False
         engine.own_prompt_tokens += self._tokens
         engine.cache.record_prompt(call)
         uses.begin(choice.upstream.entry.instance_id, call)
 
-    def first_event(self) -> None:
-        """The prompt is read; learns how long that took."""
-        if self._is_read:
+    def on_first_event(self) -> None:
+        """Ends the prefill and records how long it took."""
+        if self._is_prefilled:
             return
         self._upstream.reachability.streaming += 1
-        self._read()
-        took_ms = (asyncio.get_running_loop().time() - self._begun_s) * 1000
-        line = self._upstream.engine.speed(self._call.model)
-        line.observe(self._ahead + self._tokens, took_ms)
+        self._finish_prefill()
+        took_ms = (asyncio.get_running_loop().time() - self._started_s) * 1000
+        speed_model = self._upstream.engine.speed(self._call.model)
+        speed_model.observe(self._ahead_tokens + self._tokens, took_ms)
 
     def end(self) -> None:
-        """The attempt is over, whether the prompt was read or not."""
-        if self._is_read:
+        """Ends the attempt, whether the prompt was read or not."""
+        if self._is_prefilled:
             self._upstream.reachability.streaming -= 1
         else:
-            self._read()
+            self._finish_prefill()
         self._uses.end(self._upstream.entry.instance_id, self._call)
 
-    def _read(self) -> None:
-        self._is_read = True
-        self.on_read()
+    def _finish_prefill(self) -> None:
+        self._is_prefilled = True
+        self.on_prefill_done()
         self._upstream.engine.own_prompt_tokens -= self._tokens
