--- a/sesamecross/gateway/response_writer.py
+++ b/sesamecross/gateway/response_writer.py
@@ -1,8 +1,8 @@
-"""One request's answer on a caller's connection.
+"""Writes the response to one request on a caller's connection.
 
-Why: who answers a request must not know how answers are framed, and an answer
-that ends early must never look complete. Each answer is sent by one exchange,
-which says when its caller went away or reads too slowly.
+Request handlers need not know how responses are framed, and a response that
+ends early must never look complete. Each response has one writer, which also
+reports that the caller disconnected or reads too slowly.
 """
 
 from collections.abc import Callable
@@ -11,32 +11,37 @@
 
 from sesamecross.core import serving
 
-_NO_BODY_STATUS = frozenset((204, 304))
+_BODYLESS_STATUSES = frozenset((204, 304))
 
 
 class Connection(Protocol):
-    """What an answer needs of its caller's connection."""
+    """The part of a caller's connection that a response writer uses."""
 
     @property
-    def is_to_close(self) -> bool:
-        """Whether the connection ends behind the answer under way."""
+    def closes_after_response(self) -> bool:
+        """Whether the connection closes after the current response."""
 
     @property
-    def keep_alive_line(self) -> bytes:
-        """Tells the caller how long the connection may stay idle."""
+    def keep_alive_header(self) -> bytes:
+        """Header line with the idle timeout for the caller, or empty."""
 
     def write(self, data: bytes) -> None:
-        """Sends bytes of the answer under way."""
+        """Sends bytes of the current response."""
 
     def abort(self) -> None:
-        """Ends the connection without an end of the answer."""
+        """Closes the connection without ending the response."""
 
-    def answered(self, closes: bool, may_follow: bool) -> None:
-        """The answer under way is sent."""
+    def on_response_sent(self, closes: bool, may_follow: bool) -> None:
+        """Handles the end of the current response.
+
+        Args:
+          closes: The response announced that the connection closes.
+          may_follow: The caller may have pipelined further requests.
+        """
 
 
 def status_line(status: int) -> bytes:
-    """Returns the first line of an answer."""
+    """Returns the status line of a response."""
     try:
         phrase = http.HTTPStatus(status).phrase
     except ValueError:
@@ -45,122 +50,125 @@
 
 
 class ResponseWriter:
-    """One request's answer. Whoever answers calls its methods in order.
+    """Writes the response to one request: whole, or chunked.
 
     Attributes:
-      on_gone: Called once if the caller goes away before the answer's end.
-      on_slow: Called with True when the caller reads too slowly, and with
-        False when it has caught up.
+      on_caller_gone: Called once if the caller disconnects before the end of
+        the response.
+      on_caller_slow: Called with True when the caller reads too slowly, and
+        with False when it has caught up.
     """
 
     __slots__ = (
-        "on_gone",
-        "on_slow",
+        "on_caller_gone",
+        "on_caller_slow",
         "_connection",
-        "_keeps_open",
-        "_is_head",
-        "_is_begun",
-        "_is_over",
+        "_keep_alive",
+        "_is_head_request",
+        "_is_started",
+        "_is_finished",
         "_closes_after",
     )
 
-    def __init__(self, connection: Connection, keeps_open: bool, is_head: bool):
-        self.on_gone: Callable[[], None] | None = None
-        self.on_slow: Callable[[bool], None] | None = None
+    def __init__(
+        self, connection: Connection, keep_alive: bool, is_head_request: bool
+    ):
+        self.on_caller_gone: Callable[[], None] | None = None
+        self.on_caller_slow: Callable[[bool], None] | None = None
         self._connection = connection
-        self._keeps_open = keeps_open
-        self._is_head = is_head
-        self._is_begun = False
-        self._is_over = False
+        self._keep_alive = keep_alive
+        self._is_head_request = is_head_request
+        self._is_started = False
+        self._is_finished = False
         self._closes_after = False
 
     @property
-    def is_begun(self) -> bool:
-        """Whether the head of an answer was sent."""
-        return self._is_begun
+    def is_started(self) -> bool:
+        """Whether the head of the response was sent."""
+        return self._is_started
 
     @property
-    def is_over(self) -> bool:
-        """Whether the answer is sent, or the caller is gone."""
-        return self._is_over
+    def is_finished(self) -> bool:
+        """Whether the response ended or the caller disconnected."""
+        return self._is_finished
 
-    def whole(
+    def send_response(
         self, status: int, headers: list[serving.Header], body: bytes
     ) -> None:
-        """Sends a whole answer."""
-        if self._is_over:
+        """Sends a complete response."""
+        if self._is_finished:
             return
-        self._is_begun = True
-        out = [status_line(status), _lines(headers)]
-        if status not in _NO_BODY_STATUS:
+        self._is_started = True
+        out = [status_line(status), _encode_headers(headers)]
+        if status not in _BODYLESS_STATUSES:
             out.append(b"content-length: %d\r\n" % len(body))
-        out.append(self._connection_line())
+        out.append(self._connection_header())
         out.append(b"\r\n")
-        if not self._is_head:
+        if not self._is_head_request:
             out.append(body)
         self._connection.write(b"".join(out))
-        self._end()
+        self._finish()
 
-    def begin(
+    def begin_chunked(
         self, status: int, headers: list[serving.Header], first: bytes
     ) -> None:
-        """Sends the head of an answer in pieces, and its first piece."""
-        if self._is_over:
+        """Sends the head and the first chunk of a chunked response."""
+        if self._is_finished:
             return
-        self._is_begun = True
-        out = [status_line(status), _lines(headers)]
+        self._is_started = True
+        out = [status_line(status), _encode_headers(headers)]
         out.append(b"transfer-encoding: chunked\r\n")
-        out.append(self._connection_line())
+        out.append(self._connection_header())
         out.append(b"\r\n")
-        out.append(_chunk(first))
+        out.append(_encode_chunk(first))
         self._connection.write(b"".join(out))
 
-    def piece(self, data: bytes) -> None:
-        """Sends a further piece."""
-        if not self._is_over and data:
-            self._connection.write(_chunk(data))
+    def send_chunk(self, data: bytes) -> None:
+        """Sends a further chunk."""
+        if not self._is_finished and data:
+            self._connection.write(_encode_chunk(data))
 
-    def end(self) -> None:
-        """Ends an answer in pieces as complete."""
-        if not self._is_over:
+    def end_chunked(self) -> None:
+        """Ends a chunked response as complete."""
+        if not self._is_finished:
             self._connection.write(b"0\r\n\r\n")
-            self._end()
+            self._finish()
 
-    def cut(self) -> None:
-        """Ends the connection: what was sent must not look complete."""
-        if not self._is_over:
-            self._is_over = True
+    def abort(self) -> None:
+        """Aborts the connection, so that the response looks incomplete."""
+        if not self._is_finished:
+            self._is_finished = True
             self._connection.abort()
 
-    def gone(self) -> None:
-        """The caller went away."""
-        if self._is_over:
+    def notify_caller_gone(self) -> None:
+        """Handles the caller's disconnect."""
+        if self._is_finished:
             return
-        self._is_over = True
-        if self.on_gone is not None:
-            self.on_gone()
+        self._is_finished = True
+        if self.on_caller_gone is not None:
+            self.on_caller_gone()
 
-    def slow(self, is_slow: bool) -> None:
-        """The caller reads slowly, or has caught up."""
-        if self.on_slow is not None and not self._is_over:
-            self.on_slow(is_slow)
+    def notify_caller_slow(self, is_slow: bool) -> None:
+        """Handles a caller that reads slowly, or has caught up."""
+        if self.on_caller_slow is not None and not self._is_finished:
+            self.on_caller_slow(is_slow)
 
-    def _connection_line(self) -> bytes:
+    def _connection_header(self) -> bytes:
         self._closes_after = (
-            not self._keeps_open or self._connection.is_to_close
+            not self._keep_alive or self._connection.closes_after_response
         )
         if self._closes_after:
             return b"connection: close\r\n"
-        return self._connection.keep_alive_line
+        return self._connection.keep_alive_header
 
-    def _end(self) -> None:
-        self._is_over = True
-        self._connection.answered(self._closes_after, self._keeps_open)
+    def _finish(self) -> None:
+        self._is_finished = True
+        self._connection.on_response_sent(self._closes_after, self._keep_alive)
 
 
-def _lines(headers: list[serving.Header]) -> bytes:
+def _encode_headers(headers: list[serving.Header]) -> bytes:
     return b"".join(name + b": " + value + b"\r\n" for name, value in headers)
 
 
-def _chunk(data: bytes) -> bytes:
+def _encode_chunk(data: bytes) -> bytes:
     return b"%x\r\n" % len(data) + data + b"\r\n"
--- a/sesamecross/gateway/server_connection.py
+++ b/sesamecross/gateway/server_connection.py
@@ -1,9 +1,9 @@
-"""The front door: callers' connections, their requests and answers.
+"""HTTP/1.1 server connections of callers.
 
-Why: what callers send decides what upstreams see, so framing is judged here
-and nowhere else: a request is read whole, within the operators' limits, and
-anything that two readers could take differently is refused. Callers keep
-connections open for many requests; each is answered in its turn.
+What callers send determines what upstreams see, so request framing is checked
+here and only here: a request is read completely, within the configured limits,
+and ambiguous framing (request smuggling) is rejected. Callers keep connections
+open for many requests; pipelined ones are handled in order.
 """
 
 import asyncio
@@ -16,120 +16,123 @@
 from sesamecross.core import serving
 from sesamecross.gateway import response_writer as response_writer_lib
 
-# Requests that a caller may send ahead on one connection. Ahead of them the
-# connection is not read: a flood would be held in memory otherwise.
-_AHEAD_MOST = 4
-# What may wait for a slow caller before the upstream is read no further.
-WRITE_HIGH_BYTES = 64 * 1024
-# How long a connection that ends goes on being read, so that its last answer
-# arrives: some round trips between regions, and some of a slow link. Callers
-# that read the answer close before.
+# Requests that a caller may pipeline on one connection. Beyond them reading
+# is paused, as a flood would otherwise be buffered in memory.
+_MAX_PIPELINED = 4
+# High-water mark of a slow caller's write buffer, above which reading from
+# the upstream is paused.
+WRITE_BUFFER_HIGH_BYTES = 64 * 1024
+# Lingering close: how long a closing connection is still read, so that its
+# last response arrives. Covers some round trips between regions and a slow
+# link; callers that read the response close earlier.
 LINGER_S = 2.0
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-class Handler(Protocol):
-    """Who answers requests."""
+class RequestHandler(Protocol):
+    """Handles requests of a connection."""
 
     @property
     def limits(self) -> serving.CallerLimits:
-        """The limits in force."""
+        """The current limits."""
 
     @property
     def is_closing(self) -> bool:
         """Whether callers are told to use another connection next."""
 
-    def read_request(self, head: "Head", body: bytes) -> serving.Request | None:
-        """Returns the request; None where its headers make no sense."""
+    def parse_request(
+        self, head: "RequestHead", body: bytes
+    ) -> serving.Request | None:
+        """Returns the request; None if its headers are invalid."""
 
     def handle(
         self,
         request: serving.Request,
         response_writer: response_writer_lib.ResponseWriter,
     ) -> None:
-        """Answers a whole request through `exchange`, now or later."""
+        """Responds to a request through `response_writer`, now or later."""
 
-    def rejected(self, status: int, reason: str) -> None:
-        """A request was refused before anybody looked at its meaning."""
+    def on_rejected(self, status: int, reason: str) -> None:
+        """Called when a request is rejected before it reaches `handle`."""
 
 
-class Head:
-    """A request's head while it is read."""
+class RequestHead:
+    """The head of a request; filled while it is read."""
 
-    __slots__ = ("method", "target", "headers", "size", "keeps_open")
+    __slots__ = ("method", "target", "headers", "size", "keep_alive")
 
     def __init__(self) -> None:
         self.method = b""
         self.target = b""
         self.headers: list[serving.Header] = []
         self.size = 0
-        self.keeps_open = True
+        self.keep_alive = True
 
 
-class FrontConnection(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """A caller's connection."""
 
     __slots__ = (
         "_handler",
         "_loop",
-        "_registry",
+        "_connections",
         "_transport",
         "_parser",
         "_head",
         "_body",
         "_body_size",
         "_limits",
-        "_rejection",
-        "_waiting",
+        "_reject_status",
+        "_pipelined",
         "_response_writer",
         "_timer",
-        "_given_s",
-        "_promised_s",
-        "_is_in_head",
+        "_armed_limit_s",
+        "_advertised_idle_s",
+        "_is_reading_head",
         "_is_reading",
         "_is_closing",
     )
 
     def __init__(
         self,
-        handler: Handler,
+        handler: RequestHandler,
         loop: asyncio.AbstractEventLoop,
-        registry: set["FrontConnection"],
+        connections: set["ServerConnection"],
     ):
         self._handler = handler
         self._loop = loop
-        self._registry = registry
+        self._connections = connections
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._head = Head()
+        self._head = RequestHead()
         self._body: list[bytes] = []
         self._body_size = 0
-        # Those in force as the request began that is being read.
+        # The limits at the start of the request being read.
         self._limits = handler.limits
-        # Status with which the request being read is refused.
-        self._rejection = 0
-        self._waiting: deque[tuple[Head, bytes]] = deque()
+        # Status with which the request being read is rejected; 0 if it isn't.
+        self._reject_status = 0
+        self._pipelined: deque[tuple[RequestHead, bytes]] = deque()
         self._response_writer: response_writer_lib.ResponseWriter | None = None
         self._timer: asyncio.TimerHandle | None = None
-        # What the timer was armed with, of the caller's time.
-        self._given_s = 0.0
-        # How long the caller was last told that it may stay idle.
-        self._promised_s = 0.0
-        self._is_in_head = False
+        # The caller's time limit for which the timer was armed.
+        self._armed_limit_s = 0.0
+        # The idle timeout announced to the caller last.
+        self._advertised_idle_s = 0.0
+        self._is_reading_head = False
         self._is_reading = False
         self._is_closing = False
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is being read or answered."""
+        """Whether no request is being read or handled."""
         return self._response_writer is None and not self._is_reading
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request is being read or answered, or an answer leaves.
+        """Whether a request is being read or handled, or a response sent.
 
-        An answer's last bytes are in the process for as long as its caller
-        reads slowly, and are lost with the process.
+        The last bytes of a response stay in the write buffer while its caller
+        reads slowly, and are lost when the process exits.
         """
         if self._transport is None:
             return False
@@ -140,106 +143,106 @@
         return self._transport.get_write_buffer_size() > 0
 
     @property
-    def is_to_close(self) -> bool:
-        """Whether the connection ends behind the answer under way."""
+    def closes_after_response(self) -> bool:
+        """Whether the connection closes after the current response."""
         return self._is_closing or (
-            self._handler.is_closing and not self._waiting
+            self._handler.is_closing and not self._pipelined
         )
 
     @property
-    def keep_alive_line(self) -> bytes:
-        """Tells the caller how long the connection may stay idle."""
+    def keep_alive_header(self) -> bytes:
+        """Header line with the idle timeout for the caller, or empty."""
         idle_s = int(self._handler.limits.idle_s)
-        self._promised_s = idle_s
+        self._advertised_idle_s = idle_s
         return b"keep-alive: timeout=%d\r\n" % idle_s if idle_s else b""
 
     # -- asyncio.Protocol ----------------------------------------------
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Takes the transport; the first head is due within its time."""
+        """Stores the transport and starts the idle timeout."""
         self._transport = transport
-        transport.set_write_buffer_limits(high=WRITE_HIGH_BYTES)
-        self._registry.add(self)
-        self._arm_limit()
+        transport.set_write_buffer_limits(high=WRITE_BUFFER_HIGH_BYTES)
+        self._connections.add(self)
+        self._arm_read_timeout()
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came."""
+        """Parses data."""
         if self._is_closing:
             return
         if not self._is_reading:
-            # Even an empty line before a request starts its time.
-            self._is_in_head = True
-            self._arm_limit()
+            # Even an empty line before a request starts the head timeout.
+            self._is_reading_head = True
+            self._arm_read_timeout()
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._reject_now(400, "an upgrade of the protocol")
+            self._reject(400, "protocol upgrade not supported")
         except httptools.HttpParserError as error:
-            self._reject_now(self._rejection or 400, str(error))
-        if self._is_reading and self._rejection:
-            self._reject_now(self._rejection, "over its limits")
+            self._reject(self._reject_status or 400, str(error))
+        if self._is_reading and self._reject_status:
+            self._reject(self._reject_status, "limit exceeded or bad framing")
 
     def eof_received(self) -> bool:
-        """A caller that closes its side has gone away."""
+        """Treats a half-closed connection as closed."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The caller is gone, whoever closed the connection."""
+        """Cleans up, whichever side closed the connection."""
         self._disarm()
-        self._registry.discard(self)
+        self._connections.discard(self)
         self._transport = None
         self._is_closing = True
-        self._waiting.clear()
+        self._pipelined.clear()
         if self._response_writer is not None:
             response_writer, self._response_writer = self._response_writer, None
-            response_writer.gone()
+            response_writer.notify_caller_gone()
 
     def pause_writing(self) -> None:
-        """The caller reads slowly."""
+        """Reports that the caller reads slowly."""
         if self._response_writer is not None:
-            self._response_writer.slow(True)
+            self._response_writer.notify_caller_slow(True)
 
     def resume_writing(self) -> None:
-        """The caller has caught up."""
+        """Reports that the caller has caught up."""
         if self._response_writer is not None:
-            self._response_writer.slow(False)
+            self._response_writer.notify_caller_slow(False)
 
     # -- httptools -----------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """A request begins."""
-        self._head = Head()
+        """Starts a request."""
+        self._head = RequestHead()
         self._limits = self._handler.limits
         self._body = []
         self._body_size = 0
-        self._rejection = 0
+        self._reject_status = 0
         self._is_reading = True
 
     def on_url(self, data: bytes) -> None:
-        """A piece of the target."""
+        """Appends a part of the request target."""
         self._head.target += data
-        self._grow_head(len(data))
+        self._count_head_bytes(len(data))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header; names are kept in lower case."""
-        # Two line ends and the colon count as well.
-        self._grow_head(len(name) + len(value) + 4)
+        """Collects a header; its name is lower-cased."""
+        # Four bytes for the colon, the space and the line end.
+        self._count_head_bytes(len(name) + len(value) + 4)
         self._head.headers.append((name.lower(), value))
 
-    def _grow_head(self, size: int) -> None:
+    def _count_head_bytes(self, size: int) -> None:
         head = self._head
         head.size += size
         if (
             head.size > self._limits.head_bytes
             and head.size > self._handler.limits.head_bytes
         ):
-            self._rejection = 431
+            self._reject_status = 431
 
-    def _is_body_over(self, size: int) -> bool:
-        """Whether a body is too large by all limits that it is held to.
+    def _exceeds_body_limits(self, size: int) -> bool:
+        """Whether a body exceeds the limits of the request's start and of now.
 
-        Operators may lower them while it is being sent; its caller could not
-        know, and would not ask again after a 413.
+        Operators may lower the limit while it is being sent; the caller could
+        not know that, and would not retry after a 413.
         """
         return (
             size > self._limits.body_bytes
@@ -247,74 +250,74 @@
         )
 
     def on_headers_complete(self) -> None:
-        """Judges the framing before any of the body is read."""
+        """Checks the framing before any of the body is read."""
         if self._is_closing:
-            # Behind a last answer nothing more is said.
+            # Nothing is sent after the last response.
             return
-        self._is_in_head = False
+        self._is_reading_head = False
         head = self._head
         head.method = self._parser.get_method()
-        head.keeps_open = self._parser.should_keep_alive()
-        if self._rejection:
+        head.keep_alive = self._parser.should_keep_alive()
+        if self._reject_status:
             return
         lengths = [v for n, v in head.headers if n == b"content-length"]
         codings = [v for n, v in head.headers if n == b"transfer-encoding"]
         hosts = [v for n, v in head.headers if n == b"host"]
         other_codings = [one for one in codings if one.lower() != b"chunked"]
-        # Two readers could see the request's end at two places, and one
-        # caller's bytes would become another one's request.
+        # Request smuggling: two parsers could disagree on where the request
+        # ends, and part of one caller's body would become another request.
         is_ambiguous = len(lengths) + len(codings) > 1 or other_codings
         if is_ambiguous or len(hosts) != 1:
-            self._rejection = 400
-        elif lengths and self._is_body_over(int(lengths[0])):
-            self._rejection = 413
+            self._reject_status = 400
+        elif lengths and self._exceeds_body_limits(int(lengths[0])):
+            self._reject_status = 413
         elif any(n == b"expect" for n, _ in head.headers):
             self._transport.write(_CONTINUE)
-        if not self._rejection:
-            # The body has a time of its own.
-            self._arm_limit()
+        if not self._reject_status:
+            # The body has a timeout of its own.
+            self._arm_read_timeout()
 
     def on_body(self, data: bytes) -> None:
-        """A piece of the body."""
+        """Buffers body data within the limits."""
         self._body_size += len(data)
-        if self._is_body_over(self._body_size):
-            self._rejection = 413
-        elif not self._rejection:
+        if self._exceeds_body_limits(self._body_size):
+            self._reject_status = 413
+        elif not self._reject_status:
             self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """The request is whole: it is answered in its turn."""
-        if self._rejection:
-            self._reject_now(self._rejection, "is refused")
+        """Queues the complete request."""
+        if self._reject_status:
+            self._reject(self._reject_status, "invalid complete request")
             return
         if self._is_closing:
             return
         self._is_reading = False
         self._disarm()
-        self._waiting.append((self._head, b"".join(self._body)))
-        if len(self._waiting) > _AHEAD_MOST:
+        self._pipelined.append((self._head, b"".join(self._body)))
+        if len(self._pipelined) > _MAX_PIPELINED:
             self._transport.pause_reading()
-        self._next()
+        self._handle_next()
 
-    # -- answers -------------------------------------------------------
+    # -- responses -----------------------------------------------------
 
     def write(self, data: bytes) -> None:
-        """Sends bytes of the answer under way."""
+        """Sends bytes of the current response."""
         if self._transport is not None:
             self._transport.write(data)
 
     def abort(self) -> None:
-        """Ends the connection without an end of the answer."""
+        """Closes the connection without ending the response."""
         self._is_closing = True
         if self._transport is not None:
             self._transport.abort()
 
     def close_if_idle(self) -> None:
-        """Ends the connection if nothing is asked on it, also not by now.
+        """Closes the connection if it is still idle after one more read.
 
-        A request may wait in the socket while the loop is busy elsewhere.
-        Closing on it resets the connection, though the caller did all in
-        time; so the loop reads once more before.
+        A request may wait in the socket buffer while the loop is busy. Closing
+        the socket would then reset the connection, although the caller sent
+        the request in time.
         """
         if self.is_idle and not self._is_closing:
             self._disarm()
@@ -326,80 +329,80 @@
             self.close()
 
     def close(self) -> None:
-        """Ends the connection behind what was written."""
+        """Closes the connection after its write buffer is flushed."""
         self._is_closing = True
         if self._transport is not None:
             self._transport.close()
 
-    def _finish(self) -> None:
-        """Ends the connection so that what was written still arrives.
+    def _close_lingering(self) -> None:
+        """Starts a lingering close, so that the written data still arrives.
 
-        The caller may be sending still, for it learns only from this answer
-        that nobody reads on. A close on bytes that were not read resets the
-        connection, and what the caller has not received by then is lost. So
-        only the own direction ends; what comes is read and thrown away until
-        the caller closes, for a while.
+        The caller may still be sending, as only this response tells it to
+        stop. Closing a socket with unread data resets the connection, and the
+        caller loses what it has not received by then. So only the write side
+        is closed; received data is discarded until the caller closes, or for
+        `LINGER_S`.
         """
         self._is_closing = True
-        # The caller may be gone already; its reset is on the way to us.
+        # The caller's reset may have arrived without being handled yet.
         with contextlib.suppress(OSError):
             self._transport.write_eof()
         self._transport.resume_reading()
         self._arm(LINGER_S)
 
-    def answered(self, closes: bool, may_follow: bool) -> None:
-        """The answer under way is sent.
+    def on_response_sent(self, closes: bool, may_follow: bool) -> None:
+        """Handles the end of the current response.
 
         Args:
-          closes: It told the caller that the connection ends.
-          may_follow: The caller may have sent more behind its request.
+          closes: The response announced that the connection closes.
+          may_follow: The caller may have pipelined further requests.
         """
         self._response_writer = None
         if self._transport is None:
             return
         if closes:
             if may_follow:
-                self._finish()
+                self._close_lingering()
             else:
                 self.close()
             return
-        if len(self._waiting) <= _AHEAD_MOST:
+        if len(self._pipelined) <= _MAX_PIPELINED:
             self._transport.resume_reading()
-        self._next()
+        self._handle_next()
         if self.is_idle:
-            self._is_in_head = False
-            self._arm_limit()
+            self._is_reading_head = False
+            self._arm_read_timeout()
 
-    def _next(self) -> None:
-        if self._response_writer is not None or not self._waiting:
+    def _handle_next(self) -> None:
+        if self._response_writer is not None or not self._pipelined:
             return
-        head, body = self._waiting.popleft()
-        is_head = head.method == b"HEAD"
+        head, body = self._pipelined.popleft()
+        is_head_request = head.method == b"HEAD"
         self._response_writer = response_writer_lib.ResponseWriter(
-            self, head.keeps_open, is_head
+            self, head.keep_alive, is_head_request
         )
-        request = self._handler.read_request(head, body)
+        request = self._handler.parse_request(head, body)
         if request is None:
-            self._handler.rejected(400, "headers make no sense")
-            self._response_writer.whole(400, [], b"")
+            self._handler.on_rejected(400, "invalid headers")
+            self._response_writer.send_response(400, [], b"")
             return
         self._handler.handle(request, self._response_writer)
 
-    def _reject_now(self, status: int, reason: str) -> None:
-        """Refuses what is being read, and what would follow it."""
+    def _reject(self, status: int, reason: str) -> None:
+        """Rejects the request being read and stops reading requests."""
         if self._is_closing or self._transport is None:
             return
         self._is_closing = True
-        self._handler.rejected(status, reason)
+        self._handler.on_rejected(status, reason)
         if self._response_writer is None:
-            self._write_empty(status, b"")
-        # An answer under way ends first; `is_to_close` closes behind it.
+            self._write_rejection(status, b"")
+        # A response in progress ends first; then `closes_after_response`
+        # closes the connection.
 
-    def refuse_half(self) -> None:
-        """Refuses a request that is only half there: the process is to end.
+    def reject_partial_request(self) -> None:
+        """Rejects a partially read request, as the process is about to exit.
 
-        Nothing of it was used, so it was not run, and its caller may send it
-        elsewhere at once.
+        It has not run, so the caller can send it to another instance at once.
         """
         if (
             self._is_reading
@@ -407,64 +410,64 @@
             and self._response_writer is None
         ):
             self._is_closing = True
-            self._handler.rejected(503, "half there as the process ends")
-            self._write_empty(503, b"retry-after: 0\r\n")
+            self._handler.on_rejected(503, "incomplete at the process's exit")
+            self._write_rejection(503, b"retry-after: 0\r\n")
 
-    def _write_empty(self, status: int, lines: bytes) -> None:
-        head = response_writer_lib.status_line(status) + lines
+    def _write_rejection(self, status: int, extra_headers: bytes) -> None:
+        head = response_writer_lib.status_line(status) + extra_headers
         tail = b"content-length: 0\r\nconnection: close\r\n\r\n"
         self._transport.write(head + tail)
-        self._finish()
+        self._close_lingering()
 
-    # -- time ----------------------------------------------------------
+    # -- timeouts ------------------------------------------------------
 
     @property
-    def _allowed_s(self) -> float:
-        """How long the caller may take for what it is at.
+    def _current_limit_s(self) -> float:
+        """The caller's timeout in its current phase, by the current limits.
 
-        By the limits in force; but nobody stays idle for less than it was
-        told, whatever operators changed since.
+        An idle connection stays at least as long as its caller was told,
+        whatever operators have changed since.
         """
         limits = self._handler.limits
-        if self._is_in_head:
+        if self._is_reading_head:
             return limits.head_s
         if self._is_reading:
             return limits.idle_s
-        return max(limits.idle_s, self._promised_s)
+        return max(limits.idle_s, self._advertised_idle_s)
 
-    def _arm_limit(self) -> None:
-        self._given_s = self._allowed_s
-        self._arm(self._given_s)
+    def _arm_read_timeout(self) -> None:
+        self._armed_limit_s = self._current_limit_s
+        self._arm(self._armed_limit_s)
 
     def _arm(self, after_s: float) -> None:
         self._disarm()
-        self._timer = self._loop.call_later(after_s, self._on_time)
+        self._timer = self._loop.call_later(after_s, self._on_timeout)
 
     def _disarm(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _on_time(self) -> None:
+    def _on_timeout(self) -> None:
         self._timer = None
         if self._is_closing:
-            # An answer under way ends the connection by itself.
+            # A response in progress closes the connection when it ends.
             if self._response_writer is None:
-                self._end_linger()
+                self._end_lingering()
             return
-        # Operators may have given callers more time since it was armed.
-        allowed_s, given_s = self._allowed_s, self._given_s
-        if allowed_s > given_s:
-            self._given_s = allowed_s
-            self._arm(allowed_s - given_s)
+        # Operators may have raised the limit since the timer was armed.
+        limit_s, armed_s = self._current_limit_s, self._armed_limit_s
+        if limit_s > armed_s:
+            self._armed_limit_s = limit_s
+            self._arm(limit_s - armed_s)
         elif self._is_reading:
-            self._reject_now(408, "the request came too slowly")
+            self._reject(408, "request read timed out")
         else:
             self.close_if_idle()
 
-    def _end_linger(self) -> None:
+    def _end_lingering(self) -> None:
         if self._transport.get_write_buffer_size() > 0:
-            # A slow caller is still at the answer.
+            # A slow caller is still reading the response.
             self._arm(LINGER_S)
         else:
             self._transport.close()
--- a/sesamecross/gateway/server_connection_test.py
+++ b/sesamecross/gateway/server_connection_test.py
@@ -17,7 +17,7 @@
 from sesamecross.gateway import server_connection
 
 # No test waits so long; it only ends one that would hang.
-HANG_S = 10.0
+TEST_TIMEOUT_S = 10.0
 LIMITS = serving.CallerLimits(
     head_bytes=400, body_bytes=100, head_s=3.0, idle_s=15.0
 )
@@ -78,20 +78,20 @@
         self.is_closing = False
         self.requests: list[tuple[bytes, bytes, bytes]] = []
 
-    def read_request(self, head, body):
+    def parse_request(self, head, body):
         self.requests.append((head.method, head.target, body))
         return object()
 
     def handle(self, request, response_writer) -> None:
-        response_writer.whole(200, [(b"x-answer", b"yes")], b"ok")
+        response_writer.send_response(200, [(b"x-answer", b"yes")], b"ok")
 
-    def rejected(self, status, reason) -> None:
+    def on_rejected(self, status, reason) -> None:
         """Counted by what was written."""
 
 
-def play(pieces) -> tuple[_Handler, _Transport]:
+def run_scenario(pieces) -> tuple[_Handler, _Transport]:
     handler, transport = _Handler(), _Transport()
-    connection = server_connection.FrontConnection(handler, _Loop(), set())
+    connection = server_connection.ServerConnection(handler, _Loop(), set())
     connection.connection_made(transport)
     for piece in pieces:
         connection.data_received(piece)
@@ -107,9 +107,9 @@
 HOST = b"Host: a.example\r\n"
 POST = b"POST /a/b HTTP/1.1\r\n" + HOST
 GET = b"GET /a/ HTTP/1.1\r\n" + HOST + b"\r\n"
-HIDDEN = b"GET /hidden/ HTTP/1.1\r\nHost: a.example\r\n\r\n"
+SMUGGLED = b"GET /hidden/ HTTP/1.1\r\nHost: a.example\r\n\r\n"
 
-GOOD = [
+VALID = [
     (GET, [(b"GET", b"/a/", b"")]),
     (
         POST + b"Content-Length: 5\r\n\r\nhello",
@@ -128,11 +128,11 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "expected"), GOOD)
-def test_requests_are_read_whole_however_they_arrive(data, expected):
+@pytest.mark.parametrize(("data", "expected"), VALID)
+def test_requests_are_parsed_alike_for_any_segmentation(data, expected):
     for size in (1, 2, 7, len(data)):
         pieces = [data[i : i + size] for i in range(0, len(data), size)]
-        handler, transport = play(pieces)
+        handler, transport = run_scenario(pieces)
         assert handler.requests == expected
         assert statuses(transport) == [200] * len(expected)
 
@@ -146,30 +146,32 @@
             POST
             + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"
             + b"0\r\n\r\n"
-            + HIDDEN,
+            + SMUGGLED,
             400,
         ),
         (
-            POST + b"Content-Length: 0\r\nContent-Length: 40\r\n\r\n" + HIDDEN,
+            POST
+            + b"Content-Length: 0\r\nContent-Length: 40\r\n\r\n"
+            + SMUGGLED,
             400,
         ),
         (
             POST
             + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n"
-            + HIDDEN,
+            + SMUGGLED,
             400,
         ),
         (
             POST
             + b"Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n"
             + b"\r\n0\r\n\r\n"
-            + HIDDEN,
+            + SMUGGLED,
             400,
         ),
-        (POST + b"Content-Length: -1\r\n\r\n" + HIDDEN, 400),
-        (POST + b"Content-Length: 5, 5\r\n\r\nhello" + HIDDEN, 400),
-        (POST + b"Content-Length : 5\r\n\r\nhello" + HIDDEN, 400),
-        (POST + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n" + HIDDEN, 400),
+        (POST + b"Content-Length: -1\r\n\r\n" + SMUGGLED, 400),
+        (POST + b"Content-Length: 5, 5\r\n\r\nhello" + SMUGGLED, 400),
+        (POST + b"Content-Length : 5\r\n\r\nhello" + SMUGGLED, 400),
+        (POST + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n" + SMUGGLED, 400),
         (b"POST /a HTTP/1.1\r\n\r\n", 400),
         (b"POST /a HTTP/1.1\r\n" + HOST + HOST + b"\r\n", 400),
         (b"no request at all\r\n\r\n", 400),
@@ -186,11 +188,11 @@
         (POST + b"X-Long: " + b"x" * 400 + b"\r\n\r\n", 431),
     ],
 )
-def test_what_two_readers_could_take_differently_is_refused(data, status):
+def test_ambiguous_framing_and_exceeded_limits_are_rejected(data, status):
     """A request hidden in another one's body ran under a name of its own."""
     for size in (1, 16, len(data)):
         pieces = [data[i : i + size] for i in range(0, len(data), size)]
-        handler, transport = play(pieces)
+        handler, transport = run_scenario(pieces)
         assert handler.requests == []
         assert statuses(transport) == [status]
         assert transport.is_closed
@@ -204,7 +206,7 @@
             GET,
             POST,
             HOST,
-            HIDDEN,
+            SMUGGLED,
             b"Content-Length: 5\r\n",
             b"Content-Length: 0\r\n",
             b"Transfer-Encoding: chunked\r\n",
@@ -220,11 +222,13 @@
 
 @settings(max_examples=500, deadline=None, derandomize=True)
 @given(pieces=st.lists(BYTES, max_size=12), cut=st.integers(1, 9))
-def test_any_bytes_are_read_alike_however_they_are_cut(pieces, cut):
+def test_arbitrary_bytes_are_parsed_alike_for_any_segmentation(pieces, cut):
     """What is asked depends on the bytes, not on where packets end."""
     data = b"".join(pieces)
-    whole, first = play([data] if data else [])
-    parts, second = play([data[i : i + cut] for i in range(0, len(data), cut)])
+    whole, first = run_scenario([data] if data else [])
+    parts, second = run_scenario(
+        [data[i : i + cut] for i in range(0, len(data), cut)]
+    )
     assert parts.requests == whole.requests
     assert statuses(second) == statuses(first)
     # Whoever was refused is not listened to any more.
@@ -232,7 +236,7 @@
     assert len(refused) <= 1
 
 
-class _Closing(_Handler):
+class _ClosingHandler(_Handler):
     """Tells callers to use another connection; answers are large."""
 
     def __init__(self) -> None:
@@ -243,10 +247,10 @@
     def handle(self, request, response_writer) -> None:
         # The caller's next request is on its way as the answer goes out.
         self.caller.send(GET)
-        response_writer.whole(200, [], b"x" * 400_000)
+        response_writer.send_response(200, [], b"x" * 400_000)
 
 
-def test_bytes_behind_the_last_request_do_not_lose_its_answer():
+def test_bytes_after_the_last_request_do_not_lose_its_response():
     """A caller's last answer was cut off in a planned stop.
 
     The answer said that the connection closes. The caller, which sends ahead,
@@ -254,18 +258,18 @@
     connection, and the kernel throws away what has not left.
     """
 
-    async def play() -> bytes:
+    async def run_scenario() -> bytes:
         loop = asyncio.get_running_loop()
-        handler = _Closing()
-        door = listener.Listener("front", "127.0.0.1:0", handler)
-        task = asyncio.create_task(door.run())
-        while not door.address:
+        handler = _ClosingHandler()
+        front_listener = listener.Listener("front", "127.0.0.1:0", handler)
+        task = asyncio.create_task(front_listener.run())
+        while not front_listener.address:
             await asyncio.sleep(0)
         caller = socket.socket()
         # As on a real way, little of the answer arrives at once.
         caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         caller.setblocking(False)
-        host, _, port = door.address.rpartition(":")
+        host, _, port = front_listener.address.rpartition(":")
         await loop.sock_connect(caller, (host, int(port)))
         handler.caller = caller
         await loop.sock_sendall(caller, GET)
@@ -276,39 +280,39 @@
             await asyncio.sleep(0)
         received = b""
         with contextlib.suppress(OSError):
-            async with asyncio.timeout(HANG_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 while piece := await loop.sock_recv(caller, 65536):
                     received += piece
         caller.close()
-        await door.stop()
+        await front_listener.stop()
         task.cancel()
         return received
 
-    head, _, body = asyncio.run(play()).partition(b"\r\n\r\n")
+    head, _, body = asyncio.run(run_scenario()).partition(b"\r\n\r\n")
     assert b"connection: close" in head
     assert len(body) == 400_000
 
 
-def test_a_caller_that_still_sends_is_told_that_its_request_is_too_large():
+def test_a_caller_still_sending_receives_the_413():
     """A caller met a reset in place of its 413, and sent the body again.
 
     It was still sending as the refusal went out. The door closed at once on
     bytes that it had not read, and that resets the connection.
     """
 
-    async def play() -> tuple[bytes, bool]:
-        door = listener.Listener("front", "127.0.0.1:0", _Handler())
-        task = asyncio.create_task(door.run())
-        while not door.address:
+    async def run_scenario() -> tuple[bytes, bool]:
+        front_listener = listener.Listener("front", "127.0.0.1:0", _Handler())
+        task = asyncio.create_task(front_listener.run())
+        while not front_listener.address:
             await asyncio.sleep(0)
         reader, writer = await asyncio.open_connection(
-            *door.address.rsplit(":", 1)
+            *front_listener.address.rsplit(":", 1)
         )
         writer.write(POST + b"Content-Length: 5000000\r\n\r\n")
         received = b""
         was_reset = False
         try:
-            async with asyncio.timeout(HANG_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 for _ in range(50):
                     writer.write(b"x" * 100_000)
                     await writer.drain()
@@ -316,34 +320,34 @@
         except OSError:
             was_reset = True
         writer.close()
-        await door.stop()
+        await front_listener.stop()
         task.cancel()
         return received, was_reset
 
-    received, was_reset = asyncio.run(play())
+    received, was_reset = asyncio.run(run_scenario())
     assert not was_reset
     assert received.startswith(b"HTTP/1.1 413 ")
 
 
-class _HeldHandler(_Handler):
+class _ManualHandler(_Handler):
     """Leaves the answers to the test."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.exchanges: list[response_writer_lib.ResponseWriter] = []
+        self.response_writers: list[response_writer_lib.ResponseWriter] = []
 
     def handle(self, request, response_writer) -> None:
-        self.exchanges.append(response_writer)
+        self.response_writers.append(response_writer)
 
 
-class _Timed:
+class _TimedConnection:
     """A connection on a clock that stands until the test moves it."""
 
     def __init__(self) -> None:
-        self.handler = _HeldHandler()
+        self.handler = _ManualHandler()
         self.transport = _Transport()
         self.loop = _ClockLoop()
-        self.connection = server_connection.FrontConnection(
+        self.connection = server_connection.ServerConnection(
             self.handler, self.loop, set()
         )
         self.connection.connection_made(self.transport)
@@ -353,8 +357,8 @@
             self.handler.limits, **changed
         )
 
-    def answer_whole(self) -> None:
-        self.handler.exchanges.pop().whole(200, [], b"ok")
+    def respond(self) -> None:
+        self.handler.response_writers.pop().send_response(200, [], b"ok")
 
 
 class _ClockTimer:
@@ -382,7 +386,7 @@
         self.timers.append(timer)
         return timer
 
-    def go_on(self, by_s: float) -> None:
+    def advance(self, by_s: float) -> None:
         until_s = self.now_s + by_s
         while due := [
             one
@@ -396,57 +400,59 @@
         self.now_s = until_s
 
 
-def test_an_idle_connection_stays_by_the_limit_in_force():
+def test_an_idle_connection_stays_open_by_the_current_limit():
     """Callers met closed connections after operators raised the idle limit.
 
     They reuse a connection for four fifths of the limit by the newest
     configuration; each connection kept the limit from when it became idle.
     """
-    one = _Timed()
+    one = _TimedConnection()
     one.connection.data_received(GET)
-    one.answer_whole()
-    one.loop.go_on(5.0)
+    one.respond()
+    one.loop.advance(5.0)
     one.limit(idle_s=60.0)
-    one.loop.go_on(43.0)
+    one.loop.advance(43.0)
     assert not one.transport.is_closed
-    one.loop.go_on(12.0)
+    one.loop.advance(12.0)
     assert one.transport.is_closed
 
 
-def test_an_idle_connection_stays_as_long_as_its_caller_was_told():
+def test_an_idle_connection_stays_open_as_long_as_announced():
     """A caller's stream began under one idle limit and ended under a shorter.
 
     Its head had promised 15 s; the connection was closed 5 s after the end,
     on the caller's next request.
     """
-    one = _Timed()
+    one = _TimedConnection()
     one.connection.data_received(GET)
-    response_writer = one.handler.exchanges.pop()
-    response_writer.begin(200, [], b"first")
+    response_writer = one.handler.response_writers.pop()
+    response_writer.begin_chunked(200, [], b"first")
     assert b"keep-alive: timeout=15\r\n" in one.transport.written
     one.limit(idle_s=5.0)
-    response_writer.end()
-    one.loop.go_on(14.0)
+    response_writer.end_chunked()
+    one.loop.advance(14.0)
     assert not one.transport.is_closed
-    one.loop.go_on(2.0)
+    one.loop.advance(2.0)
     assert one.transport.is_closed
 
 
 @pytest.mark.parametrize(
-    ("begun", "raised"),
+    ("partial_request", "raised"),
     [
         pytest.param(b"POST /a HTTP/1.1\r\n", "head_s", id="head"),
         pytest.param(POST + b"Content-Length: 2\r\n\r\nh", "idle_s", id="body"),
     ],
 )
-def test_a_request_may_take_as_long_as_the_limit_in_force(begun, raised):
+def test_a_request_may_take_as_long_as_the_current_limit(
+    partial_request, raised
+):
     """A slow caller met a 408 after operators had given callers more time."""
-    one = _Timed()
-    one.connection.data_received(begun)
+    one = _TimedConnection()
+    one.connection.data_received(partial_request)
     one.limit(**{raised: 60.0})
-    one.loop.go_on(50.0)
+    one.loop.advance(50.0)
     assert one.transport.written == b""
-    one.loop.go_on(11.0)
+    one.loop.advance(11.0)
     assert statuses(one.transport) == [408]
 
 
@@ -473,18 +479,18 @@
         ),
     ],
 )
-def test_a_request_is_read_under_the_limits_of_its_begin(pieces, lowered):
+def test_a_request_is_read_under_the_limits_at_its_start(pieces, lowered):
     """A request was refused with 413 that every caller would call proper.
 
     Operators lowered the limit of bodies while this one was being sent; the
     rest of it was held against the new limit.
     """
-    one = _Timed()
+    one = _TimedConnection()
     one.connection.data_received(pieces[0])
     one.limit(**lowered)
     one.connection.data_received(pieces[1])
     assert len(one.handler.requests) == 1
-    one.answer_whole()
+    one.respond()
     assert statuses(one.transport) == [200]
     # The next one begins under the new limits.
     one.connection.data_received(b"".join(pieces))
@@ -492,13 +498,13 @@
     assert one.transport.is_closed
 
 
-def test_an_answer_under_way_outlives_the_time_of_bad_bytes_behind_it():
+def test_malformed_bytes_do_not_time_out_the_response_in_progress():
     """What a caller sent behind its request made no sense; that one stands."""
-    one = _Timed()
+    one = _TimedConnection()
     one.connection.data_received(GET)
     one.connection.data_received(b"no request at all\r\n\r\n")
-    one.loop.go_on(100.0)
+    one.loop.advance(100.0)
     assert not one.transport.is_closed
-    one.answer_whole()
+    one.respond()
     assert statuses(one.transport) == [200]
     assert one.transport.is_closed
--- a/sesamecross/gateway/state.py
+++ b/sesamecross/gateway/state.py
@@ -1,7 +1,7 @@
-"""What this instance believes: configuration, upstreams, other instances.
+"""In-memory state of an instance: configuration, upstreams, other instances.
 
-Why: the forwarder reads it, the followers and peers write it, and a test can
-make one up without any of them. A configuration's version never goes down
+The forwarder reads it, the store followers and the mesh write it, and tests
+can build one without any of them. The configuration's version never decreases
 within a process.
 """
 
@@ -19,22 +19,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettingsChange:
-    """What new settings change at once, and what they can't."""
+    """Fields of changed settings.
+
+    Attributes:
+      in_force: Those that took effect at once.
+      from_next_start: Those that take effect at the next start.
+    """
 
     in_force: frozenset[str]
     from_next_start: frozenset[str]
 
 
 class State:
-    """The beliefs of one instance.
+    """The state of one instance.
 
     Attributes:
-      instances: How many instances share the budgets, or None where that is
-        not known.
-      has_upstreams: Whether the upstreams were listed since the start.
-      upstreams_offset: Up to where their entries are known.
-      fleet_demand, fleet_uses: Sums over all instances; only the lease's
-        holder is told.
+      instance_count: Number of instances that share the budgets; None if
+        unknown.
+      has_upstream_list: Whether the upstreams were read since the start.
+      upstreams_offset: Store offset up to which their entries are known.
+      fleet_demand, fleet_uses: Sums over all instances; known to the lease
+        holder only.
     """
 
     __slots__ = (
@@ -49,8 +54,8 @@
         "fleet_demand",
         "fleet_uses",
         "_instance",
-        "_windows",
-        "_changed",
+        "_retry_budgets",
+        "_change_event",
     )
 
     def __init__(self, instance: serving.Instance):
@@ -67,14 +72,15 @@
         self.upstreams_offset = -1
         self.fleet_demand: dict[tuple[str, str], fm.TargetDemand] = {}
         self.fleet_uses: dict[tuple[str, str], int] = {}
-        self._changed = asyncio.Event()
-        self._windows: dict[str, retry_budget.RetryBudget] = {}
+        self._change_event = asyncio.Event()
+        self._retry_budgets: dict[str, retry_budget.RetryBudget] = {}
 
     def apply_settings(self, instance: serving.Instance) -> SettingsChange:
-        """Takes new settings in; returns what changed.
+        """Applies new settings; returns what changed.
 
-        Bounds and the map of zones hold at once. Addresses, ports and the
-        name stay until the next start: others know this instance by them.
+        Bounds and the regions of zones take effect at once. Addresses, ports
+        and the name stay until the next start: other instances know this one
+        by them.
         """
         before = self._instance
         changed = {
@@ -92,20 +98,20 @@
             )
             self.bounds = instance.bounds
             self.directory.drain_s = instance.bounds.drain_s
-            for window in self._windows.values():
-                # New windows would forget what was spent, and requests under
-                # way would keep the old ones.
-                window.set_limits(*self._retry_figures())
+            for budget in self._retry_budgets.values():
+                # New budgets would forget the retries already spent, and
+                # requests in progress would keep the old ones.
+                budget.set_limits(*self._retry_limits())
         return SettingsChange(frozenset(at_once), frozenset(changed - at_once))
 
     def notify_change(self) -> None:
-        """Wakes who waits for a change of belief."""
-        changed, self._changed = self._changed, asyncio.Event()
+        """Wakes all tasks that wait for a change of state."""
+        changed, self._change_event = self._change_event, asyncio.Event()
         changed.set()
 
-    async def changed(self, timeout_s: float) -> None:
-        """Waits for the next change of belief, or until the time is over."""
-        changed = self._changed
+    async def wait_for_change(self, timeout_s: float) -> None:
+        """Waits for the next change of state or the timeout."""
+        changed = self._change_event
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 await changed.wait()
@@ -117,21 +123,21 @@
 
     @property
     def version(self) -> int:
-        """The configuration's version, or -1."""
+        """The configuration's version; -1 without a configuration."""
         return self.configuration.version if self.configuration else -1
 
     @property
     def limits(self) -> serving.CallerLimits:
-        """What callers may send."""
+        """Limits on callers' requests and connections."""
         if self.configuration is None:
             return serving.CallerLimits()
         return self.configuration.limits
 
     def offer_configuration(self, configuration: serving.Configuration) -> bool:
-        """Takes a configuration in if it is newer than the one in force."""
+        """Applies a configuration if it is newer than the current one."""
         if configuration.version <= self.version:
             return False
-        # Both or none: a table that can't be made leaves what is in force.
+        # If the route table can't be built, the current state stays.
         routes = route_table.RouteTable(configuration.routes)
         self.configuration = configuration
         self.routes = routes
@@ -141,17 +147,17 @@
     def retry_budget(self, route: serving.Route) -> retry_budget.RetryBudget:
         """Returns the retry budget of a route's service."""
         service = route.targets[0].service if route.targets else ""
-        window = self._windows.get(service)
-        if window is None:
-            window = retry_budget.RetryBudget(
-                *self._retry_figures(),
+        budget = self._retry_budgets.get(service)
+        if budget is None:
+            budget = retry_budget.RetryBudget(
+                *self._retry_limits(),
                 retry_budget.rounding_offset(
                     f"{self._instance.name}/{service}"
                 ),
             )
-            self._windows[service] = window
-        return window
+            self._retry_budgets[service] = budget
+        return budget
 
-    def _retry_figures(self) -> tuple[float, float, float]:
+    def _retry_limits(self) -> tuple[float, float, float]:
         bounds = self.bounds
         return bounds.retry_share, bounds.retry_extra, bounds.retry_window_s
--- a/sesamecross/gateway/state_test.py
+++ b/sesamecross/gateway/state_test.py
@@ -30,17 +30,17 @@
 )
 
 
-def bounds(**changes) -> serving.Instance:
+def instance_with_bounds(**changes) -> serving.Instance:
     changed = dataclasses.replace(INSTANCE.bounds, **changes)
     return dataclasses.replace(INSTANCE, bounds=changed)
 
 
-def spend_all(window, now_s: float) -> int:
+def spend_until_exhausted(budget, now_s: float) -> int:
     """Spends until nothing is left; returns how often."""
-    return sum(window.spend(now_s, 1) for _ in range(1000))
+    return sum(budget.spend(now_s, 1) for _ in range(1000))
 
 
-def test_a_reload_does_not_give_the_retry_budget_again():
+def test_a_reload_does_not_reset_the_retry_budget():
     """Engines got several times the retries that all instances may send.
 
     They failed while settings changed a few times: each change of any bound
@@ -49,14 +49,16 @@
     was spent is no setting, so it must outlive them.
     """
     state = state_lib.State(INSTANCE)
-    held = state.retry_budget(ROUTE)
-    allowed = spend_all(held, 100.0)
+    budget = state.retry_budget(ROUTE)
+    allowed = spend_until_exhausted(budget, 100.0)
     assert allowed > 0
     again = 0
     for number in range(1, 6):
-        state.apply_settings(bounds(drain_s=2.5 + number))
-        again += spend_all(state.retry_budget(ROUTE), 100.0 + number)
-        again += spend_all(held, 100.0 + number)
+        state.apply_settings(instance_with_bounds(drain_s=2.5 + number))
+        again += spend_until_exhausted(
+            state.retry_budget(ROUTE), 100.0 + number
+        )
+        again += spend_until_exhausted(budget, 100.0 + number)
     assert again == 0
 
 
@@ -71,23 +73,23 @@
 ]
 
 
-@pytest.mark.parametrize(("changes", "is_more"), CHANGES)
-def test_new_figures_of_the_retry_budget_hold_for_requests_under_way(
-    changes, is_more
+@pytest.mark.parametrize(("changes", "has_more"), CHANGES)
+def test_a_changed_retry_budget_applies_to_requests_in_progress(
+    changes, has_more
 ):
     """A changed retry budget did not hold for requests under way."""
     state = state_lib.State(INSTANCE)
-    held = state.retry_budget(ROUTE)
+    budget = state.retry_budget(ROUTE)
     for _ in range(100):
-        held.request(100.0)
-    assert spend_all(held, 100.0) > 0
-    state.apply_settings(bounds(**changes))
-    assert (spend_all(held, 102.0) > 0) is is_more
+        budget.request(100.0)
+    assert spend_until_exhausted(budget, 100.0) > 0
+    state.apply_settings(instance_with_bounds(**changes))
+    assert (spend_until_exhausted(budget, 102.0) > 0) is has_more
 
 
-def test_a_smaller_retry_budget_holds_at_once():
+def test_a_smaller_retry_budget_applies_at_once():
     state = state_lib.State(INSTANCE)
     for _ in range(100):
         state.retry_budget(ROUTE).request(100.0)
-    state.apply_settings(bounds(retry_extra=0.0, retry_share=0.0))
-    assert spend_all(state.retry_budget(ROUTE), 100.0) <= 1
+    state.apply_settings(instance_with_bounds(retry_extra=0.0, retry_share=0.0))
+    assert spend_until_exhausted(state.retry_budget(ROUTE), 100.0) <= 1
--- a/sesamecross/gateway/status.py
+++ b/sesamecross/gateway/status.py
@@ -1,4 +1,4 @@
-"""What an instance says of itself over HTTP: readiness and metrics."""
+"""HTTP endpoints of the instance itself: readiness and metrics."""
 
 from sesamecross.core import serving
 from sesamecross.gateway import response_writer as response_writer_lib
@@ -11,10 +11,10 @@
 
 
 class StatusHandler:
-    """Answers questions about the instance itself.
+    """Serves metrics, or readiness if it was given no metrics.
 
     Attributes:
-      is_stopping: Not ready any more, whatever else is true.
+      is_stopping: While set, the instance reports that it isn't ready.
     """
 
     __slots__ = ("is_stopping", "_state", "_metrics")
@@ -28,38 +28,40 @@
 
     @property
     def limits(self) -> serving.CallerLimits:
-        """Who asks sends next to nothing."""
+        """Fixed limits: probes and scrapes have small requests."""
         return _LIMITS
 
     @property
     def is_closing(self) -> bool:
-        """Answers are few; connections may stay."""
+        """Always False: connections of probes and scrapes can stay open."""
         return False
 
     @property
     def is_ready(self) -> bool:
-        """Whether new callers should come here."""
+        """Whether new callers should be routed to this instance."""
         return self._state.is_ready and not self.is_stopping
 
-    def read_request(
-        self, head: server_connection.Head, body: bytes
+    def parse_request(
+        self, head: server_connection.RequestHead, body: bytes
     ) -> serving.Request | None:
-        """Returns the request; headers do not matter here."""
+        """Returns the request; its headers are ignored."""
         return serving.Request(
             head.method, head.target, "", (), body, "", None, "", None
         )
 
-    def rejected(self, status: int, reason: str) -> None:
-        """A malformed question is answered and forgotten."""
+    def on_rejected(self, status: int, reason: str) -> None:
+        """Does nothing: malformed probes aren't logged."""
 
     def handle(
         self,
         request: serving.Request,
         response_writer: response_writer_lib.ResponseWriter,
     ) -> None:
-        """Answers at once."""
+        """Responds at once."""
         if self._metrics is not None:
             body, _ = self._metrics.render()
-            response_writer.whole(200, _TEXT, body)
+            response_writer.send_response(200, _TEXT, body)
         else:
-            response_writer.whole(200 if self.is_ready else 503, [], b"")
+            response_writer.send_response(
+                200 if self.is_ready else 503, [], b""
+            )
--- a/sesamecross/gateway/sweeper.py
+++ b/sesamecross/gateway/sweeper.py
@@ -1,4 +1,4 @@
-"""Forgets what is over: upstreams long gone, connections idle too long."""
+"""Periodically removes expired upstreams and stale idle connections."""
 
 import asyncio
 
@@ -6,11 +6,11 @@
 from sesamecross.gateway import state as state_lib
 from sesamecross.runtime import logs
 
-EVERY_S = 0.5
+SWEEP_INTERVAL_S = 0.5
 
 
 class Sweeper:
-    """Runs beside the rest for ever."""
+    """Component that cleans up every `SWEEP_INTERVAL_S`."""
 
     is_vital = False
     is_helper = True
@@ -28,14 +28,14 @@
         self._log = logs.part("upstreams")
 
     async def run(self) -> None:
-        """Sweeps every half second."""
+        """Cleans up until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(EVERY_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             now_s = loop.time()
-            self._connection_pool.sweep(now_s)
+            self._connection_pool.close_stale(now_s)
             for known in self._state.directory.remove_lapsed(now_s):
-                self._connection_pool.drop(known.entry.address)
+                self._connection_pool.close_idle(known.entry.address)
                 self._log.info("forgotten", id=known.entry.instance_id)
 
     async def stop(self) -> None:
