--- a/sesamecross/gateway/app.py
+++ b/sesamecross/gateway/app.py
@@ -37,7 +37,7 @@
 from sesamecross.runtime import supervisor
 
 # The load balancer stops sending new connections after two failed readiness
-# probes, a second apart; callers that it sends before are served.
+# probes, a second apart; callers that it sends until then are served.
 BALANCER_LAG_S = 2.6
 # Reserved at the end of the grace period for the last bytes to be sent before
 # the kill. At most the last sixth of the grace period, in which requests in
@@ -269,7 +269,8 @@
         self._readiness.is_stopping = True
         self._log.info("draining", open=self.forwarder.open_requests)
         if not self.front.address and not self._is_busy:
-            # No caller has been sent to a listener that never listened.
+            # The load balancer sends no callers to a listener that never
+            # opened.
             self._log.info("drained", open=0, connections=0)
             return
         # The grace period in the settings file may have changed.
--- a/sesamecross/gateway/event_relay_test.py
+++ b/sesamecross/gateway/event_relay_test.py
@@ -1,4 +1,4 @@
-"""Tests of streams that are passed on, broken off and resumed."""
+"""Tests of streams that are forwarded, interrupted and resumed."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class _FakeResponseWriter:
-    """A caller's answer, as it would arrive."""
+    """Records the response as the caller would receive it."""
 
     def __init__(self) -> None:
         self.is_started = False
@@ -46,15 +46,15 @@
 
 
 def events_after(last_event_id: str, count: int) -> bytes:
-    """Returns what an upstream sends that goes on behind an event."""
+    """Returns the data of an upstream that resumes after an event."""
     start = int(last_event_id) + 1 if last_event_id else 1
     return b"".join(event(number) for number in range(start, count + 1))
 
 
 ATTEMPTS = st.lists(
     st.tuples(
-        # Where the run breaks off, as a share of its bytes, and the size of
-        # the pieces in which it arrives.
+        # The share of its bytes after which the attempt breaks off, and the
+        # size of the segments in which they arrive.
         st.floats(0.0, 1.0),
         st.integers(1, 40),
     ),
@@ -65,10 +65,10 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(attempts=ATTEMPTS, count=st.integers(1, 12))
 def test_a_resumed_stream_has_each_event_once_and_in_order(attempts, count):
-    """A caller got half an event twice after its engine had died.
+    """A caller got half an event twice after its engine had failed.
 
-    Upstreams break off at any byte, also in the middle of an event; the next
-    run goes on behind the last whole event.
+    Upstreams can break off at any byte, also in the middle of an event; the
+    next attempt resumes after the last complete event.
     """
 
     async def run_scenario():
@@ -89,7 +89,7 @@
     assert response_writer.received == events_after("", count)
     assert response_writer.is_ended
     assert relay.event_count == count
-    # All of it bears one head: that of the run whose events came first.
+    # There is one head: that of the first attempt with events.
     assert len(response_writer.headers) == 1
 
 
@@ -117,7 +117,7 @@
 
 
 def test_an_unterminated_event_is_not_buffered_without_limit():
-    """An upstream sent bytes without a line end until memory was gone."""
+    """An upstream sent bytes without a line end until memory ran out."""
 
     async def run_scenario():
         relay = event_relay.EventRelay(_FakeResponseWriter())
--- a/sesamecross/gateway/forwarder.py
+++ b/sesamecross/gateway/forwarder.py
@@ -33,7 +33,7 @@
 DEFAULT_RETRY_AFTER_S = 0.5
 # A request that waited longer than this for its model is late for that reason
 # and says nothing about whether the model's engines keep up.
-MAX_LATENESS_WAIT_S = 0.1
+LATENESS_MAX_MODEL_WAIT_S = 0.1
 
 
 class Forwarder:
@@ -93,7 +93,7 @@
         return len(self._open_tasks)
 
     def shut_down(self) -> None:
-        """Ends all requests in progress; the process is about to exit.
+        """Ends all requests in progress and accepts no more, before the exit.
 
         Each caller now gets a response that says what is known of its request.
         The exit would otherwise cut the request off, or make it look like an
@@ -139,7 +139,7 @@
 
 
 class _RequestTask:
-    """The life of one request."""
+    """Serves one request, from its arrival to the end of its response."""
 
     __slots__ = (
         "task",
@@ -197,7 +197,7 @@
         except asyncio.CancelledError:
             outcome = "caller gone"
             if self._is_shut_down:
-                outcome = self._answer_shutdown()
+                outcome = self._respond_to_shutdown()
         except Exception:
             self._forwarder._log.exception("error", id=self._request.request_id)
         finally:
@@ -218,7 +218,7 @@
         if self._is_started:
             self.task.cancel()
 
-    def _answer_shutdown(self) -> str:
+    def _respond_to_shutdown(self) -> str:
         if self._response_writer.is_finished:
             return "caller gone"
         self._note = f"{self._note} the stop's time is over".strip()
@@ -269,7 +269,7 @@
 
     async def _run(self) -> str:
         if self._is_shut_down:
-            return self._answer_shutdown()
+            return self._respond_to_shutdown()
         state = self._forwarder._state
         if not state.is_ready:
             self._note = "no configuration yet"
@@ -288,8 +288,8 @@
             self._retry_after_s = 0.0
             return self._refuse(0.0)
         if not self._route.targets:
-            # The route has no service, or weights of zero. The request has
-            # not run and can succeed once operators declare one.
+            # Operators declared no service, or weights of zero. The request
+            # has not run, and can succeed once they declare one.
             self._note = "route without targets"
             return self._refuse(self._retry_after_s)
         max_wait_s = self._route.timeout_s
@@ -578,13 +578,13 @@
         relay = self._relay
         if search is None or relay is None or search.choice is None:
             return
-        if search.model_wait_s > MAX_LATENESS_WAIT_S:
+        if search.model_wait_s > LATENESS_MAX_MODEL_WAIT_S:
             return
-        first_event_s = math.inf
+        time_to_first_event_s = math.inf
         if relay.first_event_s is not None:
-            first_event_s = relay.first_event_s - self._arrived_s
+            time_to_first_event_s = relay.first_event_s - self._arrived_s
         was_late = (
-            first_event_s > self._route.objective_s
+            time_to_first_event_s > self._route.objective_s
             or relay.max_gap_s > self._route.gap_s
         )
         self._forwarder.search_context.demand.record_outcome(
@@ -635,10 +635,10 @@
             return {}
         fields = self._search.log_fields()
         if self._relay is not None and self._relay.first_event_s is not None:
-            first_event_s = self._relay.first_event_s - self._arrived_s
-            fields["first_ms"] = round(first_event_s * 1000)
+            time_to_first_event_s = self._relay.first_event_s - self._arrived_s
+            fields["first_ms"] = round(time_to_first_event_s * 1000)
             fields["events"] = self._relay.event_count
             fields["gap_ms"] = round(self._relay.max_gap_s * 1000)
-            max_gap_at_s = self._relay.max_gap_at_s - self._arrived_s
-            fields["gap_at_ms"] = round(max_gap_at_s * 1000)
+            max_gap_offset_s = self._relay.max_gap_at_s - self._arrived_s
+            fields["gap_at_ms"] = round(max_gap_offset_s * 1000)
         return fields
--- a/sesamecross/gateway/pacing_test.py
+++ b/sesamecross/gateway/pacing_test.py
@@ -1,4 +1,4 @@
-"""Tests of turns at an engine while the instance that gives them stops."""
+"""Tests of admission to an engine while its pacer stops."""
 
 import asyncio
 import types
@@ -12,7 +12,7 @@
 
 NOW_S = 100.0
 NAMES = ["i1", "i2", "i3"]
-# An engine that `i1` paces, and `i2` once `i1` is gone.
+# An engine whose pacer is `i1`, and `i2` after `i1` has stopped.
 ENGINE = next(
     name
     for name in (f"e{number}" for number in range(1000))
@@ -21,7 +21,7 @@
 
 
 class _Mesh:
-    """Hands messages to the others at once."""
+    """Delivers messages to the other instances synchronously."""
 
     def __init__(self, name: str, meshes_by_name: dict[str, "_Mesh"]):
         self.me = fm.Member(name, 7, "z1", "127.0.0.1:7380", 0, 0)
@@ -45,7 +45,7 @@
 
 
 class _Fleet:
-    """Three instances and one engine, whose batch is full at first."""
+    """Three instances and one engine, whose batch is initially full."""
 
     def __init__(self, slots: int) -> None:
         entry = types.SimpleNamespace(
@@ -67,15 +67,15 @@
             mesh.me.name: pacing_lib.Pacing(state, mesh) for mesh in meshes
         }
 
-    def ask(self, name: str, spare_s: float) -> asyncio.Task:
-        asked = self.pacing_by_name[name].acquire(
+    def request_permit(self, name: str, spare_s: float) -> asyncio.Task:
+        request = self.pacing_by_name[name].acquire(
             self.engine, 100, NOW_S + spare_s, NOW_S + 1.7
         )
-        return asyncio.create_task(asked)
+        return asyncio.create_task(request)
 
 
 def run_scenario(work) -> object:
-    """Runs a test while its clock stands still: no wait runs out."""
+    """Runs a scenario on a stopped clock, so that no wait times out."""
     loop = asyncio.new_event_loop()
     loop.time = lambda: NOW_S
     try:
@@ -89,31 +89,36 @@
         await asyncio.sleep(0)
 
 
-# Who asks, and the time to spare of each ask; places; who may send at once.
+# The requesting instances with the slack of each request, the engine's slots,
+# and the indexes of the requests that are granted at once.
 STOP_CASES = [
-    pytest.param([("i2", 0.5)], 16, [0], id="the next one's own"),
-    pytest.param([("i3", 0.5)], 16, [0], id="a third one's"),
-    pytest.param([("i1", 0.5)], 16, [0], id="the stopping one's own"),
+    pytest.param([("i2", 0.5)], 16, [0], id="request of the next pacer"),
+    pytest.param([("i3", 0.5)], 16, [0], id="request of a third instance"),
+    pytest.param([("i1", 0.5)], 16, [0], id="request of the stopping pacer"),
     pytest.param(
-        [("i2", 0.9), ("i3", 0.2), ("i3", 0.6)], 2, [1], id="one place for many"
+        [("i2", 0.9), ("i3", 0.2), ("i3", 0.6)],
+        2,
+        [1],
+        id="one slot for several",
     ),
 ]
 
 
-@pytest.mark.parametrize(("asks", "slots", "sent"), STOP_CASES)
-def test_waiting_asks_move_to_the_next_pacer_when_theirs_stops(
-    asks, slots, sent
+@pytest.mark.parametrize(("requests", "slots", "granted"), STOP_CASES)
+def test_waiting_requests_move_to_the_next_pacer_when_theirs_stops(
+    requests, slots, granted
 ):
-    """A request was held for 1.7 s and refused, though its engine had room.
+    """A request waited for 1.7 s and was refused, though its engine had room.
 
-    It waited for a turn, and the instance that gives them had heard it. That
-    instance stopped and said nothing; nobody else was asked, as it had heard.
-    Not all that wait may go at once then: that would overfill the engine.
+    Its pacer had acknowledged the admission request and then stopped without
+    notice, and because of the acknowledgement no other pacer was asked. The
+    waiting requests must not all be sent at once either, as that would exceed
+    the engine's slots.
     """
 
     async def stop():
         fleet = _Fleet(slots)
-        tasks = [fleet.ask(*one) for one in asks]
+        tasks = [fleet.request_permit(*one) for one in requests]
         await run_pending_tasks()
         assert not any(task.done() for task in tasks)
         fleet.engine.running = 0
@@ -126,19 +131,19 @@
         await run_pending_tasks()
         return done, [(one.pacer, one.is_open) for one in permits]
 
-    # The next one gave the turns, by its own count.
-    assert run_scenario(stop()) == (sent, [("i2", True)] * len(sent))
+    # The next pacer granted them, by its own view of the batch.
+    assert run_scenario(stop()) == (granted, [("i2", True)] * len(granted))
 
 
-@pytest.mark.parametrize("asker", NAMES)
-def test_an_ask_to_a_stopping_pacer_moves_to_the_next(asker):
-    """Where its stop takes long it went on to give turns and keep waits."""
+@pytest.mark.parametrize("requester", NAMES)
+def test_a_request_to_a_stopping_pacer_moves_to_the_next(requester):
+    """During a long stop a pacer still granted and queued requests."""
 
     async def stop():
         fleet = _Fleet(16)
         await fleet.pacing_by_name["i1"].stop()
         fleet.engine.running = 0
-        task = fleet.ask(asker, 0.5)
+        task = fleet.request_permit(requester, 0.5)
         await run_pending_tasks()
         assert task.done()
         return task.result().pacer
@@ -149,7 +154,7 @@
 def test_requests_are_sent_without_a_permit_when_all_pacers_stop():
     async def stop():
         fleet = _Fleet(16)
-        task = fleet.ask("i3", 0.5)
+        task = fleet.request_permit("i3", 0.5)
         await run_pending_tasks()
         for one in fleet.pacing_by_name.values():
             await one.stop()
--- a/sesamecross/gateway/server_connection_test.py
+++ b/sesamecross/gateway/server_connection_test.py
@@ -1,4 +1,4 @@
-"""Tests of the front door: framing, limits, and what is never passed on."""
+"""Tests of callers' connections: framing, limits, timeouts, closing."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 from sesamecross.gateway import response_writer as response_writer_lib
 from sesamecross.gateway import server_connection
 
-# No test waits so long; it only ends one that would hang.
+# Ends a test that hangs; no test waits this long.
 TEST_TIMEOUT_S = 10.0
 LIMITS = serving.CallerLimits(
     head_bytes=400, body_bytes=100, head_s=3.0, idle_s=15.0
@@ -34,7 +34,7 @@
 
 
 class _Transport(asyncio.Transport):
-    """Keeps what was written; closed once nothing more can be."""
+    """Records the written data until it is closed."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -71,7 +71,7 @@
 
 
 class _Handler:
-    """Answers every request at once, and keeps what it was asked."""
+    """Responds to every request at once, and records the requests."""
 
     def __init__(self) -> None:
         self.limits = LIMITS
@@ -86,7 +86,7 @@
         response_writer.send_response(200, [(b"x-answer", b"yes")], b"ok")
 
     def on_rejected(self, status, reason) -> None:
-        """Counted by what was written."""
+        """Tests check the written status instead."""
 
 
 def run_scenario(pieces) -> tuple[_Handler, _Transport]:
@@ -99,7 +99,7 @@
 
 
 def statuses(transport: _Transport) -> list[int]:
-    """Returns the statuses answered; a body ends without a line end."""
+    """Returns the statuses of the responses; bodies have no final line end."""
     found = re.findall(rb"HTTP/1\.1 (\d{3}) ", transport.written)
     return [int(status) for status in found]
 
@@ -120,7 +120,7 @@
         b"3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\n\r\n",
         [(b"POST", b"/a/b", b"hello")],
     ),
-    # Two requests sent together are answered in their turn.
+    # Two pipelined requests.
     (
         POST + b"Content-Length: 2\r\n\r\nhi" + GET,
         [(b"POST", b"/a/b", b"hi"), (b"GET", b"/a/", b"")],
@@ -140,8 +140,8 @@
 @pytest.mark.parametrize(
     ("data", "status"),
     [
-        # Two readers would see the request end at two places, and the rest
-        # would become another caller's request.
+        # Request smuggling: two parsers could disagree on where the request
+        # ends, and the rest would become another caller's request.
         (
             POST
             + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -175,7 +175,7 @@
         (b"POST /a HTTP/1.1\r\n\r\n", 400),
         (b"POST /a HTTP/1.1\r\n" + HOST + HOST + b"\r\n", 400),
         (b"no request at all\r\n\r\n", 400),
-        # Over the limits: told so before any of it is kept.
+        # Limit exceeded: rejected before the data is buffered.
         (POST + b"Content-Length: 101\r\n\r\n", 413),
         (
             POST
@@ -189,7 +189,7 @@
     ],
 )
 def test_ambiguous_framing_and_exceeded_limits_are_rejected(data, status):
-    """A request hidden in another one's body ran under a name of its own."""
+    """A request smuggled in another one's body was executed on its own."""
     for size in (1, 16, len(data)):
         pieces = [data[i : i + size] for i in range(0, len(data), size)]
         handler, transport = run_scenario(pieces)
@@ -223,7 +223,7 @@
 @settings(max_examples=500, deadline=None, derandomize=True)
 @given(pieces=st.lists(BYTES, max_size=12), cut=st.integers(1, 9))
 def test_arbitrary_bytes_are_parsed_alike_for_any_segmentation(pieces, cut):
-    """What is asked depends on the bytes, not on where packets end."""
+    """The parsed requests depend on the bytes, not on the segmentation."""
     data = b"".join(pieces)
     whole, first = run_scenario([data] if data else [])
     parts, second = run_scenario(
@@ -231,13 +231,13 @@
     )
     assert parts.requests == whole.requests
     assert statuses(second) == statuses(first)
-    # Whoever was refused is not listened to any more.
+    # Nothing is read after a rejected request.
     refused = [one for one in statuses(first) if one >= 400]
     assert len(refused) <= 1
 
 
 class _ClosingHandler(_Handler):
-    """Tells callers to use another connection; answers are large."""
+    """Closes connections after each response; responses are large."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -245,17 +245,17 @@
         self.caller: socket.socket | None = None
 
     def handle(self, request, response_writer) -> None:
-        # The caller's next request is on its way as the answer goes out.
+        # The caller's next request is in flight when the response is sent.
         self.caller.send(GET)
         response_writer.send_response(200, [], b"x" * 400_000)
 
 
 def test_bytes_after_the_last_request_do_not_lose_its_response():
-    """A caller's last answer was cut off in a planned stop.
+    """A caller's last response was cut off in a drain.
 
-    The answer said that the connection closes. The caller, which sends ahead,
-    had already sent its next request: closing on unread bytes resets the
-    connection, and the kernel throws away what has not left.
+    The response announced that the connection closes, but the caller pipelines
+    and had already sent its next request. Closing a socket with unread data
+    resets the connection, and the kernel discards unsent data.
     """
 
     async def run_scenario() -> bytes:
@@ -266,7 +266,7 @@
         while not front_listener.address:
             await asyncio.sleep(0)
         caller = socket.socket()
-        # As on a real way, little of the answer arrives at once.
+        # As on a real network, only a part of the response arrives at once.
         caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         caller.setblocking(False)
         host, _, port = front_listener.address.rpartition(":")
@@ -275,7 +275,7 @@
         await loop.sock_sendall(caller, GET)
         while not handler.requests:
             await asyncio.sleep(0)
-        # Turns enough for a close that does not wait.
+        # Enough loop iterations for a close that does not wait.
         for _ in range(20):
             await asyncio.sleep(0)
         received = b""
@@ -294,10 +294,10 @@
 
 
 def test_a_caller_still_sending_receives_the_413():
-    """A caller met a reset in place of its 413, and sent the body again.
+    """A caller saw a reset instead of its 413, and sent the body again.
 
-    It was still sending as the refusal went out. The door closed at once on
-    bytes that it had not read, and that resets the connection.
+    It was still sending when it was rejected. The connection was closed at
+    once with unread data, which resets it.
     """
 
     async def run_scenario() -> tuple[bytes, bool]:
@@ -330,7 +330,7 @@
 
 
 class _ManualHandler(_Handler):
-    """Leaves the answers to the test."""
+    """Leaves the responses to the test."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -341,7 +341,7 @@
 
 
 class _TimedConnection:
-    """A connection on a clock that stands until the test moves it."""
+    """A connection whose clock the test advances."""
 
     def __init__(self) -> None:
         self.handler = _ManualHandler()
@@ -352,7 +352,7 @@
         )
         self.connection.connection_made(self.transport)
 
-    def limit(self, **changed) -> None:
+    def set_limits(self, **changed) -> None:
         self.handler.limits = dataclasses.replace(
             self.handler.limits, **changed
         )
@@ -372,7 +372,7 @@
 
 
 class _ClockLoop:
-    """Timers by a clock of the test's own."""
+    """Event loop with timers on a manual clock."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
@@ -403,37 +403,38 @@
 def test_an_idle_connection_stays_open_by_the_current_limit():
     """Callers met closed connections after operators raised the idle limit.
 
-    They reuse a connection for four fifths of the limit by the newest
-    configuration; each connection kept the limit from when it became idle.
+    Callers reuse a connection for four fifths of the limit in the newest
+    configuration, but each connection kept the limit that was current when it
+    became idle.
     """
-    one = _TimedConnection()
-    one.connection.data_received(GET)
-    one.respond()
-    one.loop.advance(5.0)
-    one.limit(idle_s=60.0)
-    one.loop.advance(43.0)
-    assert not one.transport.is_closed
-    one.loop.advance(12.0)
-    assert one.transport.is_closed
+    timed = _TimedConnection()
+    timed.connection.data_received(GET)
+    timed.respond()
+    timed.loop.advance(5.0)
+    timed.set_limits(idle_s=60.0)
+    timed.loop.advance(43.0)
+    assert not timed.transport.is_closed
+    timed.loop.advance(12.0)
+    assert timed.transport.is_closed
 
 
 def test_an_idle_connection_stays_open_as_long_as_announced():
-    """A caller's stream began under one idle limit and ended under a shorter.
+    """The idle limit was lowered while a caller's stream was in progress.
 
-    Its head had promised 15 s; the connection was closed 5 s after the end,
-    on the caller's next request.
+    The response head had announced 15 s, but the connection was closed 5 s
+    after the end, on the caller's next request.
     """
-    one = _TimedConnection()
-    one.connection.data_received(GET)
-    response_writer = one.handler.response_writers.pop()
+    timed = _TimedConnection()
+    timed.connection.data_received(GET)
+    response_writer = timed.handler.response_writers.pop()
     response_writer.begin_chunked(200, [], b"first")
-    assert b"keep-alive: timeout=15\r\n" in one.transport.written
-    one.limit(idle_s=5.0)
+    assert b"keep-alive: timeout=15\r\n" in timed.transport.written
+    timed.set_limits(idle_s=5.0)
     response_writer.end_chunked()
-    one.loop.advance(14.0)
-    assert not one.transport.is_closed
-    one.loop.advance(2.0)
-    assert one.transport.is_closed
+    timed.loop.advance(14.0)
+    assert not timed.transport.is_closed
+    timed.loop.advance(2.0)
+    assert timed.transport.is_closed
 
 
 @pytest.mark.parametrize(
@@ -446,14 +447,14 @@
 def test_a_request_may_take_as_long_as_the_current_limit(
     partial_request, raised
 ):
-    """A slow caller met a 408 after operators had given callers more time."""
-    one = _TimedConnection()
-    one.connection.data_received(partial_request)
-    one.limit(**{raised: 60.0})
-    one.loop.advance(50.0)
-    assert one.transport.written == b""
-    one.loop.advance(11.0)
-    assert statuses(one.transport) == [408]
+    """A slow caller got a 408 after operators had raised the time limit."""
+    timed = _TimedConnection()
+    timed.connection.data_received(partial_request)
+    timed.set_limits(**{raised: 60.0})
+    timed.loop.advance(50.0)
+    assert timed.transport.written == b""
+    timed.loop.advance(11.0)
+    assert statuses(timed.transport) == [408]
 
 
 @pytest.mark.parametrize(
@@ -480,31 +481,31 @@
     ],
 )
 def test_a_request_is_read_under_the_limits_at_its_start(pieces, lowered):
-    """A request was refused with 413 that every caller would call proper.
+    """A request was rejected with 413 although it was within the limits.
 
-    Operators lowered the limit of bodies while this one was being sent; the
-    rest of it was held against the new limit.
+    Operators lowered the body limit while the body was being sent, and the
+    rest was checked against the new limit.
     """
-    one = _TimedConnection()
-    one.connection.data_received(pieces[0])
-    one.limit(**lowered)
-    one.connection.data_received(pieces[1])
-    assert len(one.handler.requests) == 1
-    one.respond()
-    assert statuses(one.transport) == [200]
-    # The next one begins under the new limits.
-    one.connection.data_received(b"".join(pieces))
-    assert len(one.handler.requests) == 1
-    assert one.transport.is_closed
+    timed = _TimedConnection()
+    timed.connection.data_received(pieces[0])
+    timed.set_limits(**lowered)
+    timed.connection.data_received(pieces[1])
+    assert len(timed.handler.requests) == 1
+    timed.respond()
+    assert statuses(timed.transport) == [200]
+    # The next request is read under the new limits.
+    timed.connection.data_received(b"".join(pieces))
+    assert len(timed.handler.requests) == 1
+    assert timed.transport.is_closed
 
 
 def test_malformed_bytes_do_not_time_out_the_response_in_progress():
-    """What a caller sent behind its request made no sense; that one stands."""
-    one = _TimedConnection()
-    one.connection.data_received(GET)
-    one.connection.data_received(b"no request at all\r\n\r\n")
-    one.loop.advance(100.0)
-    assert not one.transport.is_closed
-    one.respond()
-    assert statuses(one.transport) == [200]
-    assert one.transport.is_closed
+    """Malformed data after a request must not affect its response."""
+    timed = _TimedConnection()
+    timed.connection.data_received(GET)
+    timed.connection.data_received(b"no request at all\r\n\r\n")
+    timed.loop.advance(100.0)
+    assert not timed.transport.is_closed
+    timed.respond()
+    assert statuses(timed.transport) == [200]
+    assert timed.transport.is_closed
--- a/sesamecross/gateway/state_test.py
+++ b/sesamecross/gateway/state_test.py
@@ -1,4 +1,4 @@
-"""Tests of what new settings change in an instance's beliefs."""
+"""Tests of the effect of new settings on an instance's state."""
 
 import dataclasses
 
@@ -36,39 +36,39 @@
 
 
 def spend_until_exhausted(budget, now_s: float) -> int:
-    """Spends until nothing is left; returns how often."""
+    """Spends until the budget is exhausted; returns the number of retries."""
     return sum(budget.spend(now_s, 1) for _ in range(1000))
 
 
 def test_a_reload_does_not_reset_the_retry_budget():
-    """Engines got several times the retries that all instances may send.
+    """Engines got several times the retries that the budget allows.
 
-    They failed while settings changed a few times: each change of any bound
-    forgot what had been spent, and the whole budget was there once more. What
-    requests under way spent was counted where nobody looked any more. What
-    was spent is no setting, so it must outlive them.
+    They failed while settings were reloaded a few times. Each change of any
+    bound replaced the budget with an unspent one, and requests in progress
+    went on spending from the old one. The retries spent must survive a change
+    of settings.
     """
     state = state_lib.State(INSTANCE)
     budget = state.retry_budget(ROUTE)
     allowed = spend_until_exhausted(budget, 100.0)
     assert allowed > 0
-    again = 0
+    retries_after_reload = 0
     for number in range(1, 6):
         state.apply_settings(instance_with_bounds(drain_s=2.5 + number))
-        again += spend_until_exhausted(
+        retries_after_reload += spend_until_exhausted(
             state.retry_budget(ROUTE), 100.0 + number
         )
-        again += spend_until_exhausted(budget, 100.0 + number)
-    assert again == 0
+        retries_after_reload += spend_until_exhausted(budget, 100.0 + number)
+    assert retries_after_reload == 0
 
 
-# The bounds that change, and whether more may be spent then.
+# The changed bounds, and whether more retries are allowed afterwards.
 CHANGES = [
     ({"retry_extra": 40.0}, True),
     ({"retry_extra": 2.0}, False),
     ({"retry_share": 1.0}, True),
     ({"retry_share": 0.0}, False),
-    # What was spent 2 s ago is forgotten by a window of 1 s.
+    # A window of 1 s no longer includes retries of 2 s ago.
     ({"retry_window_s": 1.0}, True),
 ]
 
@@ -77,7 +77,7 @@
 def test_a_changed_retry_budget_applies_to_requests_in_progress(
     changes, has_more
 ):
-    """A changed retry budget did not hold for requests under way."""
+    """A changed retry budget did not apply to requests in progress."""
     state = state_lib.State(INSTANCE)
     budget = state.retry_budget(ROUTE)
     for _ in range(100):
