--- a/sesamecross/gateway/app.py
+++ b/sesamecross/gateway/app.py
@@ -130,7 +130,7 @@
         client = store_client.StoreClient(
             instance.store_address, adapter.store_codec, self.metrics
         )
-        known = catalog.Catalog(
+        platform_catalog = catalog.Catalog(
             catalog.ConfigurationSink(
                 self.state,
                 adapter.configuration_key,
@@ -142,14 +142,14 @@
         configurations = follower.Follower(
             client,
             adapter.configuration_topic,
-            known.configuration,
+            platform_catalog.configuration,
             self._rng,
             max_backoff_s=self.mesh.max_store_backoff_s,
         )
         upstreams = follower.Follower(
             client,
             adapter.upstreams_topic,
-            known.upstreams,
+            platform_catalog.upstreams,
             self._rng,
             store_polling.READ_INTERVAL_S,
             self.mesh.should_read_store,
@@ -163,10 +163,10 @@
             lambda: self.state.bounds.lease_s,
         )
         engines = engine_client.EngineClient(adapter.http_codec, self.metrics)
-        orders = placement_controller.PlacementController(
+        controller = placement_controller.PlacementController(
             self.state, self.mesh, self.lease, engines, self.metrics
         )
-        self.forwarder.search_context.request_placement = orders.want
+        self.forwarder.search_context.request_placement = controller.want
         pacing = pacing_lib.Pacing(self.state, self.mesh)
         self.forwarder.search_context.pacing = pacing
         address = f"{instance.ip}:{instance.ports[0]}"
@@ -195,14 +195,18 @@
             self._joiner,
             self.mesh,
             sync.SyncServer(
-                self.mesh, self.state, known, client, adapter.own_topic_prefix
+                self.mesh,
+                self.state,
+                platform_catalog,
+                client,
+                adapter.own_topic_prefix,
             ),
-            sync.SyncPuller(self.mesh, self.state, known),
+            sync.SyncPuller(self.mesh, self.state, platform_catalog),
             self.lease,
             sync.HolderMonitor(
                 self.mesh, self.lease.is_candidate, self.lease.on_holder_exit
             ),
-            orders,
+            controller,
             pacing,
         ]
 
--- a/sesamecross/gateway/event_relay.py
+++ b/sesamecross/gateway/event_relay.py
@@ -27,7 +27,8 @@
     Attributes:
       event_count: Number of events forwarded.
       last_event_id: Id of the last event that had one, or empty.
-      upstream: The engine that sends the events; None if not for a model.
+      upstream: The engine that sends the events; None if the request is not
+        for a model.
       on_first_event: Called once, at the next event.
       first_event_s: Loop time of the first event, or None.
       max_gap_s: The longest pause between events so far.
