--- a/sesamecross/gateway/catalog.py
+++ b/sesamecross/gateway/catalog.py
@@ -1,14 +1,13 @@
-"""Takes configuration and upstreams into the state, whoever brings them.
+"""Applies configuration and upstream records to the state.
 
-Why: records come from the store, or from another instance where the store
-turns this one away. They may come from other writers, be unreadable, or
-arrive late. What can't be read names nothing; what is older than what is
-known changes nothing. Each change of belief is logged with the offset that
-brought it.
+Records come from the store, or from another instance if the store refuses this
+one. They may be written by other programs, be unreadable or arrive late. An
+unreadable record is ignored, and so is one that is older than what is known.
+Each change of the state is logged with the offset of the record that caused it.
 
-A record may also be one that no code was made for, and fail it. It costs its
-line and no more: a sink that raised would take its follower down, and with
-some more of them the process.
+A valid record can still make the code fail. Such a failure is logged and
+affects that record only: an exception out of a sink would stop its follower,
+and repeated failures would end the process.
 """
 
 import asyncio
@@ -26,7 +25,7 @@
 
 
 class ConfigurationSink:
-    """Takes the operators' newest configuration."""
+    """Applies the operators' newest configuration."""
 
     __slots__ = ("_state", "_key", "_decode", "_log", "raw")
 
@@ -41,21 +40,21 @@
 
     @property
     def end(self) -> int:
-        """Up to where records were taken in, or -1."""
+        """The offset up to which records have been applied, or -1."""
         return self.raw.end
 
     def on_record(self, record: store.KeyedRecord) -> None:
-        """Takes one record."""
+        """Applies one record."""
         if record.key != self._key or record.value is None:
             return
         if not self.raw.take(record):
             return
         try:
-            self._take(record)
+            self._apply(record)
         except Exception:
-            self._log.exception("record not taken", offset=record.offset)
+            self._log.exception("record not applied", offset=record.offset)
 
-    def _take(self, record: store.KeyedRecord) -> None:
+    def _apply(self, record: store.KeyedRecord) -> None:
         configuration = self._decode(record.value)
         if configuration is None:
             self._log.warning("unreadable", offset=record.offset)
@@ -70,16 +69,16 @@
                 routes=len(configuration.routes),
             )
 
-    def on_whole(self, keys: set[str], end: int) -> None:
-        """A configuration that is not listed stays in force."""
+    def on_listed(self, keys: set[str], end: int) -> None:
+        """Does nothing: a configuration that is not listed stays in force."""
 
-    def on_reached(self, end: int) -> None:
-        """All records before `end` were taken in."""
+    def on_progress(self, end: int) -> None:
+        """Notes that all records before `end` have been applied."""
         self.raw.advance_end(end)
 
 
 class UpstreamSink:
-    """Takes the upstreams' entries."""
+    """Applies the upstreams' entries."""
 
     __slots__ = ("_state", "_decode", "_log", "raw")
 
@@ -91,21 +90,21 @@
 
     @property
     def end(self) -> int:
-        """Up to where records were taken in, or -1."""
+        """The offset up to which records have been applied, or -1."""
         return self.raw.end
 
     def on_record(self, record: store.KeyedRecord) -> None:
-        """Takes one record."""
+        """Applies one record."""
         if not self.raw.take(record):
             return
         try:
-            self._take(record)
+            self._apply(record)
         except Exception:
             self._log.exception(
-                "record not taken", id=record.key, offset=record.offset
+                "record not applied", id=record.key, offset=record.offset
             )
 
-    def _take(self, record: store.KeyedRecord) -> None:
+    def _apply(self, record: store.KeyedRecord) -> None:
         directory = self._state.directory
         now_s = asyncio.get_running_loop().time()
         if record.value is None:
@@ -121,12 +120,13 @@
         before = known.entry if known is not None else None
         if directory.update_entry(entry, now_s):
             self._state.notify_change()
-            # What it holds changes with each order, at each upstream and for
-            # each instance: 23,000 lines in 50 s. The orders are logged.
-            tell = self._log.debug
-            if before is None or _is_other_life(before, entry):
-                tell = self._log.info
-            tell(
+            # The models that an upstream holds change with each order, for each
+            # upstream and instance: 23,000 lines in 50 s. Orders have log lines
+            # of their own, so such changes are logged at debug level.
+            log_entry = self._log.debug
+            if before is None or _identity_changed(before, entry):
+                log_entry = self._log.info
+            log_entry(
                 "seen",
                 id=record.key,
                 offset=record.offset,
@@ -136,21 +136,26 @@
                 models=sorted(held.name for held in entry.models),
             )
 
-    def on_whole(self, keys: set[str], end: int) -> None:
-        """Keys that are not listed were dropped unread."""
+    def on_listed(self, keys: set[str], end: int) -> None:
+        """Removes known keys that the listing lacks.
+
+        Their removal was not read before it expired.
+        """
         for key in sorted(self.raw.missing_from(keys)):
             self.on_record(store.KeyedRecord(key, None, end - 1))
         self._state.has_upstream_list = True
 
-    def on_reached(self, end: int) -> None:
-        """All records before `end` were taken in."""
+    def on_progress(self, end: int) -> None:
+        """Notes that all records before `end` have been applied."""
         self.raw.advance_end(end)
         self._state.upstreams_offset = self.raw.end
         self._state.has_upstream_list = True
 
 
-def _is_other_life(before: serving.Upstream, entry: serving.Upstream) -> bool:
-    """Whether an entry says more than what the upstream holds now."""
+def _identity_changed(
+    before: serving.Upstream, entry: serving.Upstream
+) -> bool:
+    """Returns whether an entry differs in more than the models it lists."""
     return (before.born_ms, before.address, before.is_leaving) != (
         entry.born_ms,
         entry.address,
@@ -160,7 +165,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Catalog:
-    """Both topics."""
+    """The sinks of both topics."""
 
     configuration: ConfigurationSink
     upstreams: UpstreamSink
--- a/sesamecross/gateway/catalog_test.py
+++ b/sesamecross/gateway/catalog_test.py
@@ -1,4 +1,4 @@
-"""Tests of records that come into force, and of those that must not."""
+"""Tests of which configuration and upstream records are applied."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 from sesamecross.gateway import state as state_lib
 from sesamecross.ops.fleet import service_choice
 from sesamecross.platform import catalog as decoders
-from sesamecross.platform import catalog_test as damage
+from sesamecross.platform import catalog_test as wire_samples
 from sesamecross.ports import store
 
 POISON = b"poison"
@@ -26,11 +26,11 @@
     return store.KeyedRecord(key, value, offset)
 
 
-def encoded(sound, **changes) -> bytes:
-    return json.dumps(sound | changes).encode()
+def encode(valid, **changes) -> bytes:
+    return json.dumps(valid | changes).encode()
 
 
-def sinks(state, wrap=lambda decode: decode) -> catalog.Catalog:
+def make_sinks(state, wrap=lambda decode: decode) -> catalog.Catalog:
     return catalog.Catalog(
         catalog.ConfigurationSink(
             state, "config", wrap(decoders.configuration)
@@ -39,19 +39,19 @@
     )
 
 
-def failing(decode):
-    """Returns a decoder that fails on one value in a way nobody expects."""
+def raising_decoder(decode):
+    """Returns a decoder that raises an unexpected exception on one value."""
 
-    def fails(*arguments):
+    def raises(*arguments):
         if arguments[-1] == POISON:
-            raise ZeroDivisionError("nobody thought of this")
+            raise ZeroDivisionError("unexpected")
         return decode(*arguments)
 
-    return fails
+    return raises
 
 
 class _Store:
-    """A topic that is read once, and then brings nothing."""
+    """A topic that returns its records once, and then blocks."""
 
     def __init__(self, records):
         self.records = records
@@ -69,13 +69,15 @@
         return store.Page(tuple(self.records[offset:]), len(self.records))
 
 
-def followed(sink, records) -> _Store:
-    """Lets a follower hand the records over; it must not fail."""
+def run_follower(sink, records) -> _Store:
+    """Lets a follower pass the records on; the follower must not fail."""
 
-    async def play():
+    async def scenario():
         backend = _Store(records)
-        one = follower.Follower(backend, "topic", sink, random.Random(1))
-        task = asyncio.create_task(one.run())
+        topic_follower = follower.Follower(
+            backend, "topic", sink, random.Random(1)
+        )
+        task = asyncio.create_task(topic_follower.run())
         done = asyncio.create_task(backend.done.wait())
         await asyncio.wait([task, done], return_when=asyncio.FIRST_COMPLETED)
         if task.done():
@@ -83,81 +85,82 @@
         task.cancel()
         return backend
 
-    return asyncio.run(play())
+    return asyncio.run(scenario())
 
 
-def test_a_poison_configuration_leaves_the_one_in_force():
-    """A dozen records that no code was made for ended an instance.
+def test_failing_configuration_keeps_the_one_in_force():
+    """Guards against records on which a follower fails.
 
-    Each failed the follower once. What came behind it in the same page waited
-    for a restart with growing pauses, and more than ten of them in half a
-    minute took the process down, with all streams of its callers. A sink is
-    the one place that knows which record it is, so it has to stand it.
+    Each such record failed the follower once. Records after it in the same page
+    waited for a restart with growing backoff, and more than ten failures in
+    half a minute ended the process with all of its callers' streams. A sink is
+    the one place that knows which record failed, so it has to handle the
+    exception.
     """
     state = state_lib.State(samples.INSTANCE)
-    sink = sinks(state, failing).configuration
+    sink = make_sinks(state, raising_decoder).configuration
     records = [
-        record("config", encoded(damage.CONFIGURATION, version=3), 0),
+        record("config", encode(wire_samples.CONFIGURATION, version=3), 0),
         record("config", POISON, 1),
         record("other", POISON, 2),
         record("config", None, 3),
     ]
     with structlog.testing.capture_logs() as lines:
-        backend = followed(sink, records)
+        backend = run_follower(sink, records)
         assert state.version == 3
         assert state.routes.find("h.example", "/a/b") is not None
-        # Read again, as after a restart of the component.
-        asyncio.run(_take_again(sink, records))
+        # Applied again, as after a restart of the component.
+        asyncio.run(_apply_records(sink, records))
     assert sink.end == len(records)
     assert backend.reads == 2
-    told = [line for line in lines if line.get("offset") == 1]
-    assert len(told) == 1
-    assert told[0]["exc_info"]
-    later = encoded(damage.CONFIGURATION, version=4)
-    asyncio.run(_take_again(sink, [record("config", later, 4)]))
+    logged = [line for line in lines if line.get("offset") == 1]
+    assert len(logged) == 1
+    assert logged[0]["exc_info"]
+    later = encode(wire_samples.CONFIGURATION, version=4)
+    asyncio.run(_apply_records(sink, [record("config", later, 4)]))
     assert state.version == 4
 
 
-async def _take_again(sink, records):
-    for one in records:
-        sink.on_record(one)
+async def _apply_records(sink, records):
+    for each in records:
+        sink.on_record(each)
 
 
-def test_a_poison_entry_leaves_the_other_upstreams_and_its_own_entry():
-    """Upstreams behind one odd entry were not heard of for a while.
+def test_failing_entry_affects_no_other_record():
+    """Guards against an upstream entry that delays the entries after it.
 
-    The follower failed on the entry and was started again after a pause.
+    The follower failed on the entry and was restarted after a backoff.
     """
     state = state_lib.State(samples.INSTANCE)
-    sink = sinks(state, failing).upstreams
+    sink = make_sinks(state, raising_decoder).upstreams
     records = [
-        record("u1", encoded(damage.UPSTREAM), 0),
+        record("u1", encode(wire_samples.UPSTREAM), 0),
         record("u1", POISON, 1),
         record("u2", POISON, 2),
-        record("u3", encoded(damage.UPSTREAM), 3),
+        record("u3", encode(wire_samples.UPSTREAM), 3),
     ]
     with structlog.testing.capture_logs() as lines:
-        followed(sink, records)
-        asyncio.run(_take_again(sink, records))
+        run_follower(sink, records)
+        asyncio.run(_apply_records(sink, records))
     usable = state.directory.usable("s", 0.0)
-    assert [one.entry.instance_id for one in usable] == ["u1", "u3"]
+    assert [known.entry.instance_id for known in usable] == ["u1", "u3"]
     assert (state.has_upstream_list, state.upstreams_offset) == (True, 4)
-    told = [line["offset"] for line in lines if line.get("exc_info")]
-    assert told == [1, 2]
+    logged = [line["offset"] for line in lines if line.get("exc_info")]
+    assert logged == [1, 2]
 
 
 @pytest.mark.parametrize(
     "routes",
     [
         pytest.param([], id="none"),
-        pytest.param([damage.ROUTE, damage.ROUTE], id="twice"),
-        pytest.param([damage.ROUTE | {"pathPrefix": ""}], id="no prefix"),
-        pytest.param([damage.ROUTE | {"pathPrefix": "a"}], id="no slash"),
-        pytest.param([damage.ROUTE | {"hostname": ""}], id="no host"),
-        pytest.param([damage.ROUTE | {"service": None}], id="no target"),
+        pytest.param([wire_samples.ROUTE, wire_samples.ROUTE], id="twice"),
+        pytest.param([wire_samples.ROUTE | {"pathPrefix": ""}], id="no prefix"),
+        pytest.param([wire_samples.ROUTE | {"pathPrefix": "a"}], id="no slash"),
+        pytest.param([wire_samples.ROUTE | {"hostname": ""}], id="no host"),
+        pytest.param([wire_samples.ROUTE | {"service": None}], id="no target"),
         pytest.param(
             [
-                damage.ROUTE
+                wire_samples.ROUTE
                 | {
                     "service": None,
                     "trafficSplit": [
@@ -170,7 +173,7 @@
         ),
         pytest.param(
             [
-                damage.ROUTE
+                wire_samples.ROUTE
                 | {
                     "trafficSplit": [
                         {"service": "s", "weight": 1e308},
@@ -182,12 +185,12 @@
         ),
     ],
 )
-def test_odd_routes_fail_no_lookup(routes):
-    """A route that can't be used must not fail the requests of others."""
+def test_unusable_routes_fail_no_lookup(routes):
+    """Guards against unusable routes that fail requests for other routes."""
     state = state_lib.State(samples.INSTANCE)
-    sink = sinks(state).configuration
-    value = encoded(damage.CONFIGURATION, routes=routes)
-    asyncio.run(_take_again(sink, [record("config", value, 1)]))
+    sink = make_sinks(state).configuration
+    value = encode(wire_samples.CONFIGURATION, routes=routes)
+    asyncio.run(_apply_records(sink, [record("config", value, 1)]))
     assert state.version == 3
     for path in ("", "/", "/a/", "/a/b/c", "a", "/a/?x=/y/"):
         for host in ("", "h.example", "H.example:80", ":", "x:y"):
@@ -198,29 +201,31 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(
-    configurations=st.lists(damage.records(damage.CONFIGURATION), max_size=6),
+    configurations=st.lists(
+        wire_samples.records(wire_samples.CONFIGURATION), max_size=6
+    ),
     entries=st.lists(
         st.tuples(
             st.sampled_from(("u1", "u2", "")),
-            st.one_of(st.none(), damage.records(damage.UPSTREAM)),
+            st.one_of(st.none(), wire_samples.records(wire_samples.UPSTREAM)),
         ),
         max_size=8,
     ),
 )
 def test_no_record_stops_the_followers(configurations, entries):
-    """Whatever stands in the store, instances serve what they knew."""
+    """Checks that the known state is served whatever the store holds."""
     state = state_lib.State(samples.INSTANCE)
-    known = sinks(state)
-    sound = encoded(damage.CONFIGURATION, version=1)
-    values = [sound, *configurations]
-    followed(
+    known = make_sinks(state)
+    valid = encode(wire_samples.CONFIGURATION, version=1)
+    values = [valid, *configurations]
+    run_follower(
         known.configuration,
-        [record("config", one, at) for at, one in enumerate(values)],
+        [record("config", value, at) for at, value in enumerate(values)],
     )
     assert state.version >= 1
     assert known.configuration.end == len(values)
     state.routes.find("h.example", "/a/b")
-    followed(
+    run_follower(
         known.upstreams,
         [record(key, value, at) for at, (key, value) in enumerate(entries)],
     )
@@ -232,21 +237,21 @@
     state.directory.remove_lapsed(1e9)
 
 
-def test_a_table_of_routes_that_fails_leaves_the_configuration_in_force(
+def test_failing_route_table_keeps_the_configuration_in_force(
     monkeypatch,
 ):
-    """A version counted as in force whose routes were not."""
+    """Guards against a version that counts as in force without its routes."""
     state = state_lib.State(samples.INSTANCE)
-    sink = sinks(state).configuration
-    sound = encoded(damage.CONFIGURATION, version=1)
-    asyncio.run(_take_again(sink, [record("config", sound, 0)]))
+    sink = make_sinks(state).configuration
+    valid = encode(wire_samples.CONFIGURATION, version=1)
+    asyncio.run(_apply_records(sink, [record("config", valid, 0)]))
 
-    def fails(routes):
-        raise ZeroDivisionError("nobody thought of this")
+    def raises(routes):
+        raise ZeroDivisionError("unexpected")
 
     with monkeypatch.context() as patched:
-        patched.setattr(state_lib.route_table, "RouteTable", fails)
-        later = encoded(damage.CONFIGURATION, version=2)
-        asyncio.run(_take_again(sink, [record("config", later, 1)]))
+        patched.setattr(state_lib.route_table, "RouteTable", raises)
+        later = encode(wire_samples.CONFIGURATION, version=2)
+        asyncio.run(_apply_records(sink, [record("config", later, 1)]))
     assert state.version == 1
     assert state.routes.find("h.example", "/a/b") is not None
--- a/sesamecross/gateway/follower.py
+++ b/sesamecross/gateway/follower.py
@@ -1,9 +1,10 @@
-"""Follows a keyed topic of the store: the newest of each key, then changes.
+"""Follows a keyed topic of the store: lists the newest records, then reads on.
 
-Why: configuration and upstreams are keyed records. A follower lists them
-once and reads on from there; it lists again where the store has dropped what
-it did not read. The store may be slow, down, or answer others only: the
-follower goes on trying with growing pauses, and what is known stays known.
+Configuration and upstreams are keyed records. A follower lists a topic once and
+then reads from the end of the listing; it lists again if the store has expired
+records that it had not read. The store may be slow, down, or refuse only this
+instance: the follower retries with exponential backoff, and the known records
+stay valid.
 """
 
 import asyncio
@@ -16,34 +17,34 @@
 from sesamecross.ports import store
 from sesamecross.runtime import logs
 
-# How long a read waits for a record. Calls are paid for and a longer wait is
-# cheaper, and the store allows 30 s; a connection that went silent is found by
-# probes after about 3 s.
-WAIT_S = 25.0
-FIRST_PAUSE_S = 0.1
-# How often a follower that does not read looks whether it is its turn.
-IDLE_S = 0.1
+# How long a read waits for a record (long polling). The store charges per call,
+# so longer waits cost less; it allows up to 30 s. Keepalive probes find a dead
+# connection after about 3 s.
+LONG_POLL_S = 25.0
+INITIAL_BACKOFF_S = 0.1
+# How often a follower that does not read checks whether it should.
+IDLE_POLL_S = 0.1
 
 
 class Sink(Protocol):
-    """Who takes the records of a topic."""
+    """Receives the records of a topic."""
 
     @property
     def end(self) -> int:
-        """Up to where records were taken in, whoever brought them, or -1."""
+        """The offset up to which any source supplied records, or -1."""
 
     def on_record(self, record: store.KeyedRecord) -> None:
-        """Takes one record; a value of None drops the key."""
+        """Handles one record; a value of None removes the key."""
 
-    def on_whole(self, keys: set[str], end: int) -> None:
-        """All keys that there are before `end`: others are gone."""
+    def on_listed(self, keys: set[str], end: int) -> None:
+        """Receives all keys that exist before `end`; others are removed."""
 
-    def on_reached(self, end: int) -> None:
-        """All records before `end` were handed over."""
+    def on_progress(self, end: int) -> None:
+        """Notes that all records before `end` were passed on."""
 
 
 class Follower:
-    """Follows one topic for ever."""
+    """Component that follows one topic."""
 
     is_vital = False
 
@@ -55,10 +56,10 @@
         "_log",
         "_offset",
         "_reachable",
-        "_pause_s",
-        "_every_s",
-        "_reads",
-        "_longest_pause_s",
+        "_backoff_s",
+        "_min_interval_s",
+        "_should_read",
+        "_max_backoff_s",
     )
 
     def __init__(
@@ -67,22 +68,23 @@
         topic: str,
         sink: Sink,
         rng: random.Random,
-        every_s: float = 0.0,
-        reads: Callable[[], bool] = lambda: True,
+        min_interval_s: float = 0.0,
+        should_read: Callable[[], bool] = lambda: True,
         max_backoff_s: Callable[[], float] = lambda: (
             store_polling.READER_MAX_BACKOFF_S
         ),
     ):
-        """Sets the follower up.
+        """Initializes the follower.
 
         Args:
           client: The store.
-          topic: What is followed.
-          sink: Who takes the records.
-          rng: Spreads the pauses after failures.
-          every_s: Least time between two reads that brought something.
-          reads: Whether this instance reads now, or others do it for it.
-          longest_pause_s: The longest pause between calls that fail.
+          topic: The topic to follow.
+          sink: Receives the records.
+          rng: Adds jitter to the backoff.
+          min_interval_s: Minimum time between two successful reads.
+          should_read: Whether this instance reads now; otherwise another
+            instance reads for it.
+          max_backoff_s: The longest backoff after failed calls.
         """
         self._client = client
         self._topic = topic
@@ -91,50 +93,52 @@
         self._log = logs.part("follower")
         self._offset: int | None = None
         self._reachable: bool | None = None
-        self._pause_s = FIRST_PAUSE_S
-        self._every_s = every_s
-        self._reads = reads
-        self._longest_pause_s = max_backoff_s
+        self._backoff_s = INITIAL_BACKOFF_S
+        self._min_interval_s = min_interval_s
+        self._should_read = should_read
+        self._max_backoff_s = max_backoff_s
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The prefix of its log lines."""
         return f"follower {self._topic}"
 
     @property
     def offset(self) -> int:
-        """Up to where the topic was read, or -1."""
+        """The offset up to which the topic was read, or -1."""
         return -1 if self._offset is None else self._offset
 
     async def run(self) -> None:
-        """Lists, then reads on, for ever."""
+        """Lists the topic, then reads from the end of the listing."""
         while True:
-            if self._offset is not None and not self._reads():
-                await asyncio.sleep(IDLE_S)
+            if self._offset is not None and not self._should_read():
+                await asyncio.sleep(IDLE_POLL_S)
                 continue
             if self._offset is None:
-                is_done = await self._list()
+                is_done = await self._list_topic()
             else:
-                is_done = await self._read_on()
+                is_done = await self._read_next()
             if is_done:
-                self._pause_s = FIRST_PAUSE_S
-                if self._every_s > 0:
-                    await asyncio.sleep(self._every_s)
+                self._backoff_s = INITIAL_BACKOFF_S
+                if self._min_interval_s > 0:
+                    await asyncio.sleep(self._min_interval_s)
             else:
-                await asyncio.sleep(self._pause_s * self._rng.uniform(0.5, 1))
-                self._pause_s = min(self._pause_s * 2, self._longest_pause_s())
+                await asyncio.sleep(self._backoff_s * self._rng.uniform(0.5, 1))
+                self._backoff_s = min(
+                    self._backoff_s * 2, self._max_backoff_s()
+                )
 
     async def stop(self) -> None:
-        """Nothing is left open that matters."""
+        """Does nothing: there is no state to flush or close."""
 
-    async def _list(self) -> bool:
+    async def _list_topic(self) -> bool:
         after = ""
         start: int | None = None
         keys: set[str] = set()
         while True:
             outcome = await self._client.newest(self._topic, after)
             if not isinstance(outcome, store.NewestPage):
-                self._note(False, outcome)
+                self._set_reachable(False, outcome)
                 return False
             if start is None:
                 start = outcome.end
@@ -144,18 +148,18 @@
             if not outcome.has_more or not outcome.records:
                 break
             after = outcome.records[-1].key
-        self._sink.on_whole(keys, start)
-        self._sink.on_reached(start)
+        self._sink.on_listed(keys, start)
+        self._sink.on_progress(start)
         self._offset = start
-        self._note(True, None)
+        self._set_reachable(True, None)
         self._log.info("listed", topic=self._topic, keys=len(keys), end=start)
         return True
 
-    async def _read_on(self) -> bool:
-        # The first read after a failure doesn't wait, so that the store's
-        # return shows at once.
-        wait_s = WAIT_S if self._reachable else 0.0
-        # Others may have brought what this instance did not read itself.
+    async def _read_next(self) -> bool:
+        # The first read after a failure does not wait, so that recovery of the
+        # store is noticed at once.
+        wait_s = LONG_POLL_S if self._reachable else 0.0
+        # Another instance may have supplied records that this one did not read.
         self._offset = max(self._offset, self._sink.end)
         outcome = await self._client.read(self._topic, self._offset, wait_s)
         match outcome:
@@ -163,8 +167,8 @@
                 for record in records:
                     self._sink.on_record(record)
                 self._offset = next_offset
-                self._sink.on_reached(next_offset)
-                self._note(True, None)
+                self._sink.on_progress(next_offset)
+                self._set_reachable(True, None)
                 return True
             case store.Expired(first):
                 self._log.warning(
@@ -175,10 +179,10 @@
                 )
                 self._offset = None
                 return True
-        self._note(False, outcome)
+        self._set_reachable(False, outcome)
         return False
 
-    def _note(self, reachable: bool, outcome: object) -> None:
+    def _set_reachable(self, reachable: bool, outcome: object) -> None:
         if reachable == self._reachable:
             return
         self._reachable = reachable
--- a/sesamecross/gateway/follower_test.py
+++ b/sesamecross/gateway/follower_test.py
@@ -1,4 +1,4 @@
-"""Tests of following the store, against one that does its worst."""
+"""Tests of following the store while calls fail and history is compacted."""
 
 import asyncio
 import random
@@ -26,11 +26,11 @@
     def on_record(self, record) -> None:
         self.raw.take(record)
 
-    def on_whole(self, keys, end) -> None:
+    def on_listed(self, keys, end) -> None:
         for key in self.raw.missing_from(keys):
             self.raw.take(store.KeyedRecord(key, None, end - 1))
 
-    def on_reached(self, end) -> None:
+    def on_progress(self, end) -> None:
         self.raw.advance_end(end)
 
     def values(self) -> dict[str, bytes]:
@@ -42,58 +42,58 @@
 
 
 class _Store:
-    """A keyed topic that changes between calls and fails as it is told."""
+    """A keyed topic that changes and fails between calls as specified."""
 
     def __init__(self, steps):
         self.log: list[store.KeyedRecord] = []
         self.first = 0
-        self.newest_of: dict[str, store.KeyedRecord] = {}
+        self.latest: dict[str, store.KeyedRecord] = {}
         self.steps = list(steps)
         self.done = asyncio.Event()
 
     def write(self, key: str, value: bytes | None) -> None:
         record = store.KeyedRecord(key, value, len(self.log))
         self.log.append(record)
-        self.newest_of[key] = record
+        self.latest[key] = record
 
     def values(self) -> dict[str, bytes]:
         return {
-            key: one.value
-            for key, one in self.newest_of.items()
-            if one.value is not None
+            key: record.value
+            for key, record in self.latest.items()
+            if record.value is not None
         }
 
     def _step(self) -> str:
-        """Lets something happen; returns what becomes of the call."""
+        """Runs the next step; returns the outcome of the call."""
         if not self.steps:
             return "good"
-        what, key, number = self.steps.pop(0)
-        match what:
+        action, key, number = self.steps.pop(0)
+        match action:
             case "write":
                 self.write(f"k{key}", b"%d" % number)
             case "drop":
                 self.write(f"k{key}", None)
             case "compact":
-                # History goes, and with it the keys that were dropped.
+                # History is dropped, and with it the removed keys.
                 self.first = len(self.log)
             case "refuse" | "lose":
-                return what
+                return action
         return "good"
 
     async def newest(self, topic, after):
-        fate = self._step()
-        if fate != "good":
-            return _failure(fate)
+        outcome = self._step()
+        if outcome != "good":
+            return _failure(outcome)
         live = sorted(self.values())
         page = [key for key in live if key > after][:2]
         has_more = bool(page) and page[-1] != live[-1]
-        records = tuple(self.newest_of[key] for key in page)
+        records = tuple(self.latest[key] for key in page)
         return store.NewestPage(records, has_more, len(self.log))
 
     async def read(self, topic, offset, wait_s):
-        fate = self._step()
-        if fate != "good":
-            return _failure(fate)
+        outcome = self._step()
+        if outcome != "good":
+            return _failure(outcome)
         if offset < self.first:
             return store.Expired(self.first)
         records = tuple(self.log[offset:])
@@ -103,8 +103,8 @@
         return store.Page(records, len(self.log))
 
 
-def _failure(fate: str):
-    if fate == "refuse":
+def _failure(outcome: str):
+    if outcome == "refuse":
         return store.NotDone("503")
     return store.Unknown("no answer")
 
@@ -123,24 +123,26 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(steps=STEPS)
-def test_what_is_followed_ends_up_as_the_store_has_it(steps):
-    """An upstream that had left was used for the rest of the day.
+def test_followed_topic_converges_to_the_store(steps):
+    """Guards against an upstream that stays in use after its removal.
 
-    The store dropped its history while nobody read, the record of the
-    leaving with it, and the list that was read next has no word of it.
+    The store compacted its history while nobody read. The removal record was
+    dropped with it, and the next listing does not mention the key.
     """
 
-    async def play():
+    async def scenario():
         backend, sink = _Store(steps), _Sink()
-        one = follower.Follower(backend, "topic", sink, random.Random(1))
-        task = asyncio.create_task(one.run())
+        topic_follower = follower.Follower(
+            backend, "topic", sink, random.Random(1)
+        )
+        task = asyncio.create_task(topic_follower.run())
         await backend.done.wait()
         task.cancel()
         return backend, sink
 
     sleep = asyncio.sleep
-    # Pauses pass at once: the order of things is what is tested.
+    # Sleeps return at once: only the order of events is tested.
     with mock.patch.object(asyncio, "sleep", lambda seconds: sleep(0)):
-        backend, sink = asyncio.run(play())
+        backend, sink = asyncio.run(scenario())
     assert sink.values() == backend.values()
     assert sink.end == len(backend.log)
--- a/sesamecross/gateway/joiner.py
+++ b/sesamecross/gateway/joiner.py
@@ -6,16 +6,16 @@
 from sesamecross.gateway import mesh as mesh_lib
 from sesamecross.gateway import registrar as registrar_lib
 
-# A planned stop does not wait longer for the store than this.
+# How long a planned stop waits for the store.
 LEAVE_TIMEOUT_S = 0.5
 
 
 class Joiner:
-    """Component that ends once the instance takes part.
+    """Component that ends once the instance has joined the mesh.
 
     Attributes:
-      leave_s: How long `stop` waits for the store; a process whose grace ends
-        sets less.
+      leave_timeout_s: How long `stop` waits for the store; lowered when the
+        process's grace period is about to end.
     """
 
     is_vital = False
@@ -35,13 +35,13 @@
         self._instance = instance
 
     async def run(self) -> None:
-        """Registers, and opens the port for datagrams."""
+        """Registers, binds the datagram port and joins the mesh."""
         joined = await self._registrar.join()
         await self._mesh.open(self._instance.ip, self._instance.ports[0])
         self._mesh.join(joined.me, joined.secret, joined.others)
 
     async def stop(self) -> None:
-        """Takes the registration back, if there is one."""
+        """Removes the registration, if there is one."""
         if self._mesh.roster is not None:
             async with asyncio.timeout(self.leave_timeout_s):
                 await self._registrar.leave()
--- a/sesamecross/gateway/registrar.py
+++ b/sesamecross/gateway/registrar.py
@@ -1,9 +1,9 @@
-"""Registers this instance in the store and learns of the others.
+"""Registers this instance in the store and reads who the others are.
 
-Why: the platform tells a process nothing of the other instances. Each writes
-one keyed record when it starts; its offset numbers this life of the instance,
-so that everybody knows the later one. The first instance ever also writes the
-key by which the instances' messages to each other are authenticated.
+The platform tells a process nothing of the other instances. Each writes one
+keyed record when it starts; the record's offset is the incarnation number of
+that start, so that a later start has a larger number. The very first instance
+also writes the key that authenticates messages between instances.
 """
 
 import asyncio
@@ -22,19 +22,19 @@
 SECRET_KEY = "secret"
 INSTANCE_PREFIX = "instance/"
 SECRET_BYTES = 32
-RETRY_S = 0.5
+RETRY_INTERVAL_S = 0.5
 
 
 class _Registration(msgspec.Struct, frozen=True):
-    """An instance's record."""
+    """An instance's record in the store."""
 
     zone: str
     address: str
-    # Tells this start's record from that of an earlier one.
+    # Distinguishes this start's record from that of an earlier start.
     nonce: str
 
 
-class Joined(msgspec.Struct, frozen=True):
+class JoinResult(msgspec.Struct, frozen=True):
     """What an instance knows once it is registered."""
 
     me: fm.Member
@@ -62,17 +62,17 @@
         self._rng = rng
         self._log = logs.part("registrar")
 
-    async def join(self) -> Joined:
+    async def join(self) -> JoinResult:
         """Returns once this start is registered, however long that takes."""
         nonce = secrets.token_hex(8)
         is_first = True
         while True:
-            records = await self._list()
+            records = await self._list_registrations()
             if records is not None:
                 if is_first:
                     is_first = False
-                    self._tell_earlier(records)
-                joined = await self._join_by(records, nonce)
+                    self._warn_if_unclean_stop(records)
+                joined = await self._try_join(records, nonce)
                 if joined is not None:
                     self._log.info(
                         "joined",
@@ -80,14 +80,16 @@
                         others=len(joined.others),
                     )
                     return joined
-            await asyncio.sleep(RETRY_S * self._rng.uniform(0.5, 1.0))
+            await asyncio.sleep(RETRY_INTERVAL_S * self._rng.uniform(0.5, 1.0))
 
-    def _tell_earlier(self, records: dict[str, store.KeyedRecord]) -> None:
-        """Logs whether the start before this one ended in order.
+    def _warn_if_unclean_stop(
+        self, records: dict[str, store.KeyedRecord]
+    ) -> None:
+        """Warns if the previous start ended without a planned stop.
 
-        A process that a signal or the kernel ends writes no line of it, and
-        nothing on the instance outlives it. Its registration does: a planned
-        stop takes it back.
+        A process that is killed by a signal or the kernel logs nothing of it,
+        and no local state survives it. Its registration does survive: only a
+        planned stop removes it.
         """
         earlier = records.get(INSTANCE_PREFIX + self._instance.name)
         if earlier is not None:
@@ -96,7 +98,7 @@
                 incarnation=earlier.offset,
             )
 
-    async def _list(self) -> dict[str, store.KeyedRecord] | None:
+    async def _list_registrations(self) -> dict[str, store.KeyedRecord] | None:
         found: dict[str, store.KeyedRecord] = {}
         after = ""
         while True:
@@ -109,20 +111,20 @@
                 return found
             after = outcome.records[-1].key
 
-    async def _join_by(
+    async def _try_join(
         self, records: dict[str, store.KeyedRecord], nonce: str
-    ) -> Joined | None:
+    ) -> JoinResult | None:
         if SECRET_KEY not in records:
-            # Only the topic's very first record may be a secret: of all
-            # instances that start at once, one succeeds.
+            # The append is conditional on an empty topic: of all instances that
+            # start at once, exactly one writes the secret.
             value = base64.b64encode(secrets.token_bytes(SECRET_BYTES))
             await self._client.append(self._topic, SECRET_KEY, value, at=0)
             return None
-        mine = records.get(INSTANCE_PREFIX + self._instance.name)
-        if mine is not None:
-            known = _decode(mine.value)
+        own_record = records.get(INSTANCE_PREFIX + self._instance.name)
+        if own_record is not None:
+            known = _decode(own_record.value)
             if known is not None and known.nonce == nonce:
-                return self._joined(records, mine.offset)
+                return self._join_result(records, own_record.offset)
         registration = _Registration(self._instance.zone, self._address, nonce)
         outcome = await self._client.append(
             self._topic,
@@ -130,14 +132,14 @@
             msgspec.msgpack.encode(registration),
             at=None,
         )
-        # Listed again in any case: instances that start at once are not on
-        # the first list, and a write without an answer may be done.
+        # The list is read again in any case: it may lack instances that started
+        # at the same time, and a write without an answer may have taken effect.
         self._log.info("registered", outcome=str(outcome))
         return None
 
-    def _joined(
+    def _join_result(
         self, records: dict[str, store.KeyedRecord], incarnation: int
-    ) -> Joined:
+    ) -> JoinResult:
         me = fm.Member(
             self._instance.name,
             incarnation,
@@ -158,10 +160,10 @@
                 )
             )
         secret = base64.b64decode(records[SECRET_KEY].value)
-        return Joined(me, secret, tuple(others))
+        return JoinResult(me, secret, tuple(others))
 
     async def leave(self) -> None:
-        """Takes the registration back; a failure costs others a timeout."""
+        """Removes the registration; a failure costs others a timeout."""
         key = INSTANCE_PREFIX + self._instance.name
         await self._client.append(self._topic, key, None, at=None)
 
@@ -172,5 +174,5 @@
     try:
         return msgspec.msgpack.decode(value, type=_Registration)
     except (msgspec.MsgspecError, RecursionError):
-        # The latter where a record is nested deeply.
+        # RecursionError: the record is nested deeply.
         return None
--- a/sesamecross/gateway/registrar_test.py
+++ b/sesamecross/gateway/registrar_test.py
@@ -1,4 +1,4 @@
-"""Tests of registering a start of an instance, also among damaged records."""
+"""Tests of registering a start of an instance, also with damaged records."""
 
 import asyncio
 import dataclasses
@@ -14,7 +14,7 @@
 from sesamecross.ports import store
 
 TOPIC = "instances"
-DEEP = b"\x81\xa1x" + b"\x91" * 100_000 + b"\xc0"
+DEEPLY_NESTED = b"\x81\xa1x" + b"\x91" * 100_000 + b"\xc0"
 OTHER = msgspec.msgpack.encode(
     {"zone": "z1", "address": "10.0.0.2:7380", "nonce": "n"}
 )
@@ -47,14 +47,14 @@
     return dataclasses.replace(samples.INSTANCE, name=name, ports=(7380,))
 
 
-def one_start(client: _Store, name: str) -> registrar.Registrar:
+def make_registrar(client: _Store, name: str) -> registrar.Registrar:
     return registrar.Registrar(
         client, TOPIC, instance(name), "10.0.0.1:7380", random.Random(1)
     )
 
 
 @pytest.mark.parametrize(
-    ("before", "told"),
+    ("before", "expected"),
     [
         ((), []),
         (("i1", "stop"), []),
@@ -62,43 +62,44 @@
         (("i1", "crash"), ["earlier start ended without a stop"]),
     ],
 )
-def test_a_start_tells_whether_the_one_before_it_stopped_in_order(
-    before, told, monkeypatch
+def test_start_warns_of_a_predecessor_that_crashed(
+    before, expected, monkeypatch
 ):
-    """Processes ended by a signal, and their own logs said nothing of it.
+    """Guards against crashes that leave no trace in the logs.
 
-    The default action of a signal ends a process without a line. Only the
-    platform's exit codes told these ends from planned stops.
+    A process that is killed by a signal logs nothing. Only the platform's exit
+    codes distinguished such ends from planned stops.
     """
-    # The pause between two looks is not what is tested.
-    monkeypatch.setattr(registrar, "RETRY_S", 0.0)
+    # Without the delay between attempts, which is not tested here.
+    monkeypatch.setattr(registrar, "RETRY_INTERVAL_S", 0.0)
 
-    async def play():
+    async def scenario():
         client = _Store()
         if before:
             name, end = before
-            earlier = one_start(client, name)
+            earlier = make_registrar(client, name)
             await earlier.join()
             if end == "stop":
                 await earlier.leave()
         with structlog.testing.capture_logs() as lines:
-            await one_start(client, "i1").join()
+            await make_registrar(client, "i1").join()
         return lines
 
-    lines = asyncio.run(play())
-    warnings = [one for one in lines if one["log_level"] == "warning"]
-    assert [one["event"] for one in warnings] == told
+    lines = asyncio.run(scenario())
+    warnings = [line for line in lines if line["log_level"] == "warning"]
+    assert [line["event"] for line in warnings] == expected
     assert lines[-1]["event"] == "joined"
 
 
 @pytest.mark.parametrize(
-    "damaged", [DEEP, b"", b"\xff", b"\x80", b"\xc1", msgspec.msgpack.encode(7)]
+    "damaged",
+    [DEEPLY_NESTED, b"", b"\xff", b"\x80", b"\xc1", msgspec.msgpack.encode(7)],
 )
 def test_a_damaged_registration_names_no_instance(damaged, monkeypatch):
-    """No instance could join any more.
+    """Guards against a damaged registration that keeps instances from joining.
 
-    One record among the registrations could not be read; reading the list
-    failed on it at each try, in a way that the decoder did not expect.
+    Decoding the record raised an exception that was not handled, on each
+    attempt to read the list.
     """
     client = _Store(
         **{
@@ -107,13 +108,13 @@
             registrar.INSTANCE_PREFIX + "front-3": damaged,
         }
     )
-    one = one_start(client, "front-1")
+    new_registrar = make_registrar(client, "front-1")
 
-    async def play():
+    async def scenario():
         async with asyncio.timeout(10):
-            return await one.join()
+            return await new_registrar.join()
 
-    monkeypatch.setattr(registrar, "RETRY_S", 0.0)
-    joined = asyncio.run(play())
+    monkeypatch.setattr(registrar, "RETRY_INTERVAL_S", 0.0)
+    joined = asyncio.run(scenario())
     assert joined.secret == b"key"
     assert [member.name for member in joined.others] == ["front-2"]
--- a/sesamecross/gateway/reloader.py
+++ b/sesamecross/gateway/reloader.py
@@ -1,13 +1,14 @@
-"""Takes changed settings in while the gateway runs.
+"""Applies changed settings while the gateway runs.
 
-Why: operators change a settings file and send SIGHUP, or only change it. A
-process that ends by either cuts off all streams that it relays, and so does
-one that binds its addresses anew. So what can change in place does, and what
-can't is logged: it holds from the next start.
+Operators edit a settings file, with or without sending SIGHUP. A restart would
+cut all streams that the process relays, and so would binding its addresses
+again. Settings that can change in place are applied; the others are logged and
+take effect at the next start.
 
-A file is read while it is written. Cut at the end of a line it may be whole
-for a parser, and defaults would replace what the operators set further down.
-So a text is taken in once two looks, a little apart, have found the same.
+The file may be read while it is being written. Text cut at the end of a line
+can still be valid for the parser, and defaults would replace the settings that
+follow the cut. So text is applied only once two successive reads return the
+same.
 """
 
 import asyncio
@@ -23,22 +24,22 @@
 from sesamecross.gateway import state as state_lib
 from sesamecross.runtime import logs
 
-# How often the file is looked at without a signal. Reading and decoding it
-# takes under a millisecond.
-EVERY_S = 2.0
-# Two looks this far apart that find the same: the file is written. Writing a
-# few kilobytes takes milliseconds; the longest bound on taking changes in is
-# some seconds.
-SETTLE_S = 0.25
+# How often the file is read without a signal. Reading and decoding it takes
+# less than a millisecond.
+POLL_INTERVAL_S = 2.0
+# Two reads this far apart that return the same text show that the file is
+# complete. Writing a few kilobytes takes milliseconds; the longest bound on
+# applying changes is several seconds.
+SETTLE_DELAY_S = 0.25
 
-_Found = Result[bytes, errors.Problem]
+_ReadResult = Result[bytes, errors.Problem]
 
 
 class SettingsSource(Protocol):
-    """Where settings come from, and how they are read."""
+    """Reads and decodes settings."""
 
     def read(self) -> Result[bytes, errors.Problem]:
-        """Returns what the file holds now."""
+        """Returns the file's current content."""
 
     def decode(self, data: bytes) -> Result[serving.Instance, errors.Problem]:
         """Returns the settings in `data`, or what is wrong with them."""
@@ -62,63 +63,63 @@
         self._sleep = sleep
         self._wake = asyncio.Event()
         self._log = logs.part("settings")
-        # What was complained about last, to say it once.
-        self._refused = ""
-        # What the file held when its settings were last taken in.
-        self._taken: _Found | None = None
+        # The last error that was logged, so that it is logged once.
+        self._last_error = ""
+        # The content whose settings were last applied.
+        self._last_read: _ReadResult | None = None
 
     def reload(self) -> None:
-        """Looks at the settings now."""
+        """Triggers an immediate check of the settings."""
         self._wake.set()
 
     async def run(self) -> None:
-        """Looks at once, and then now and then, for ever."""
-        # The file may have changed since the start read it, when nobody took
-        # a signal yet.
-        is_asked = False
+        """Checks the settings at once, then periodically."""
+        # The file may have changed after it was read at the start and before
+        # the signal handler was installed.
+        is_requested = False
         while True:
-            await self._look(is_asked)
-            is_asked = True
+            await self._check(is_requested)
+            is_requested = True
             try:
-                async with asyncio.timeout(EVERY_S):
+                async with asyncio.timeout(POLL_INTERVAL_S):
                     await self._wake.wait()
             except TimeoutError:
-                is_asked = False
+                is_requested = False
             self._wake.clear()
 
     async def stop(self) -> None:
-        """Nothing to finish."""
+        """Does nothing: there is no state to flush or close."""
 
-    async def _look(self, is_asked: bool) -> None:
-        found = self._source.read()
-        if found == self._taken:
-            self._refused = ""
-            if is_asked:
+    async def _check(self, is_requested: bool) -> None:
+        content = self._source.read()
+        if content == self._last_read:
+            self._last_error = ""
+            if is_requested:
                 self._log.info("reloaded, nothing changed")
             return
-        found = await self._settled(found)
-        loaded = found.bind(self._source.decode)
+        content = await self._read_until_stable(content)
+        loaded = content.bind(self._source.decode)
         if isinstance(loaded, Failure):
             reason = str(loaded.failure())
-            if is_asked or reason != self._refused:
+            if is_requested or reason != self._last_error:
                 self._log.error("not taken, the old ones stay", why=reason)
-            self._refused = reason
+            self._last_error = reason
             return
-        self._refused = ""
-        self._taken = found
+        self._last_error = ""
+        self._last_read = content
         changed = self._state.apply_settings(loaded.unwrap())
-        if is_asked or changed.in_force or changed.from_next_start:
+        if is_requested or changed.in_force or changed.from_next_start:
             self._log.info(
                 "reloaded",
                 in_force=sorted(changed.in_force),
                 from_next_start=sorted(changed.from_next_start),
             )
 
-    async def _settled(self, found: _Found) -> _Found:
-        """Returns what the file holds once it no longer changes."""
+    async def _read_until_stable(self, content: _ReadResult) -> _ReadResult:
+        """Returns the content once two successive reads agree."""
         while True:
-            await self._sleep(SETTLE_S)
-            again = self._source.read()
-            if again == found:
-                return again
-            found = again
+            await self._sleep(SETTLE_DELAY_S)
+            reread = self._source.read()
+            if reread == content:
+                return reread
+            content = reread
--- a/sesamecross/gateway/store_messages.py
+++ b/sesamecross/gateway/store_messages.py
@@ -1,7 +1,7 @@
-"""A record of the store as instances hand it to each other.
+"""The wire form of the store's records between instances.
 
-Why: one instance answers another's calls to the store, and one tells another
-what it lacks. Both send records, and what sends and reads them is the same.
+It is shared by calls to the store through another instance and by
+synchronization between instances.
 """
 
 from collections.abc import Iterable
@@ -14,20 +14,24 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreRecord:
-    """A record of the store; no value drops the key."""
+    """A record of the store; a value of None removes the key."""
 
     key: str
     value: bytes | None
     offset: int
 
 
-def encoded(records: Iterable[store.KeyedRecord]) -> tuple[StoreRecord, ...]:
-    """Returns records as they are sent."""
-    return tuple(StoreRecord(one.key, one.value, one.offset) for one in records)
+def to_wire(records: Iterable[store.KeyedRecord]) -> tuple[StoreRecord, ...]:
+    """Returns the records in wire form."""
+    return tuple(
+        StoreRecord(record.key, record.value, record.offset)
+        for record in records
+    )
 
 
-def decoded(records: Iterable[StoreRecord]) -> tuple[store.KeyedRecord, ...]:
-    """Returns records as the store gave them."""
+def from_wire(records: Iterable[StoreRecord]) -> tuple[store.KeyedRecord, ...]:
+    """Returns the records in the form in which the store returned them."""
     return tuple(
-        store.KeyedRecord(one.key, one.value, one.offset) for one in records
+        store.KeyedRecord(record.key, record.value, record.offset)
+        for record in records
     )
--- a/sesamecross/gateway/sync.py
+++ b/sesamecross/gateway/sync.py
@@ -1,11 +1,11 @@
-"""Hands the store's records from instance to instance, over streams.
+"""Synchronizes the store's records between instances, over streams.
 
-Why: an instance that the store turns away, or that does not read it at all,
-learns configuration and leaving upstreams from one that knows more. Who knows
-more shows in the datagrams: each bears how far its sender has come.
+An instance that the store refuses, or that does not read it, fetches
+configuration and upstreams from a peer that has newer records. Datagrams carry
+each sender's read positions, which show who has newer records.
 
-The same port also serves as proof of life: a candidate for the lease keeps a
-stream to its holder open, and sees at once when that process ends.
+The same port also serves failure detection: a candidate for the lease keeps a
+stream to the holder open and notices at once when that process ends.
 """
 
 import asyncio
@@ -29,15 +29,15 @@
 from sesamecross.transport import streams
 
 ROLE = "gateway"
-ANSWER_S = 1.0
-STEP_S = 0.1
-WATCH_PAUSE_S = 0.5
+ANSWER_TIMEOUT_S = 1.0
+POLL_INTERVAL_S = 0.1
+WATCH_INTERVAL_S = 0.5
 
 
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class SyncAsk:
-    """What the asking instance has."""
+    """What the requesting instance has."""
 
     configuration: int
     upstreams_end: int
@@ -46,7 +46,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class SyncAnswer:
-    """What the asking instance lacks."""
+    """What the requesting instance lacks."""
 
     configuration: tuple[store_messages.StoreRecord, ...]
     configuration_end: int
@@ -78,7 +78,7 @@
     async def run(self) -> None:
         """Listens once this start is registered."""
         while self._mesh.roster is None:
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         host, _, port = self._mesh.roster.me.address.rpartition(":")
         server = await asyncio.start_server(
             self._serve, host, int(port), reuse_address=True
@@ -87,7 +87,7 @@
             await asyncio.Event().wait()
 
     async def stop(self) -> None:
-        """Streams end with the process."""
+        """Does nothing: streams end with the process."""
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -97,36 +97,38 @@
                 reader, writer, self._mesh.secret, self._stamper
             )
             while True:
-                ask = await stream.receive()
-                match ask:
+                request = await stream.receive()
+                match request:
                     case SyncAsk():
-                        await stream.send(self._answer(ask))
+                        await stream.send(self._answer(request))
                     case store_proxy.AppendAsk() | store_proxy.NewestAsk():
-                        told = await store_proxy.serve(
-                            self._client, self._own_prefix, ask
+                        answer = await store_proxy.execute(
+                            self._client, self._own_prefix, request
                         )
-                        await stream.send(told)
+                        await stream.send(answer)
         except (streams.StreamClosedError, asyncio.CancelledError):
-            # The task is asyncio's own: a cancellation that left it would be
-            # reported as an error of its callback.
+            # asyncio owns this task: a cancellation that propagated would be
+            # reported as an error in its callback.
             writer.close()
 
-    def _answer(self, ask: SyncAsk) -> SyncAnswer:
+    def _answer(self, request: SyncAsk) -> SyncAnswer:
         configuration = self._catalog.configuration.raw
         upstreams = self._catalog.upstreams.raw
         newer: tuple[store.KeyedRecord, ...] = ()
-        if ask.configuration < self._state.version:
+        if request.configuration < self._state.version:
             newer = configuration.since(0)
         return SyncAnswer(
-            store_messages.encoded(newer),
+            store_messages.to_wire(newer),
             configuration.end,
-            store_messages.encoded(upstreams.since(max(0, ask.upstreams_end))),
+            store_messages.to_wire(
+                upstreams.since(max(0, request.upstreams_end))
+            ),
             upstreams.end,
         )
 
 
 class SyncPuller:
-    """Component that asks instances that know more."""
+    """Component that fetches records from instances with newer ones."""
 
     is_vital = False
     name = "sync puller"
@@ -144,38 +146,41 @@
         self._log = logs.part("sync")
         self._lag = store_polling.Lag()
         self._stream: streams.Stream | None = None
-        self._source = ""
+        self._source_address = ""
 
     async def run(self) -> None:
-        """Compares for ever."""
+        """Compares read positions periodically and fetches what is missing."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             if self._mesh.roster is None:
                 continue
             source = self._best_source(loop.time())
-            mine = (self._state.version, self._state.upstreams_offset)
+            own_progress = (self._state.version, self._state.upstreams_offset)
             best = None
             if source is not None:
                 best = (source.configuration, source.upstreams)
-            duration_s = self._lag.duration_s(mine, best, loop.time())
-            patience_s = store_polling.MEMBER_FETCH_DELAY_S
+            lag_s = self._lag.duration_s(own_progress, best, loop.time())
+            fetch_delay_s = store_polling.MEMBER_FETCH_DELAY_S
             if self._mesh.should_read_store():
-                patience_s = store_polling.READER_FETCH_DELAY_S
-            if source is not None and duration_s >= patience_s:
+                fetch_delay_s = store_polling.READER_FETCH_DELAY_S
+            if source is not None and lag_s >= fetch_delay_s:
                 await self._pull(source)
 
     async def stop(self) -> None:
-        """Ends the stream."""
-        self._close()
+        """Closes the stream."""
+        self._close_stream()
 
     def _best_source(self, now_s: float) -> fm.Member | None:
-        """Returns the instance that knows most more than this one."""
-        mine = (self._state.version, self._state.upstreams_offset)
+        """Returns the instance furthest ahead, its own zone preferred.
+
+        None if no instance is ahead of this one.
+        """
+        own_progress = (self._state.version, self._state.upstreams_offset)
         best = None
         for member in self._mesh.roster.alive(now_s):
             theirs = (member.configuration, member.upstreams)
-            if theirs[0] <= mine[0] and theirs[1] <= mine[1]:
+            if theirs[0] <= own_progress[0] and theirs[1] <= own_progress[1]:
                 continue
             is_near = member.zone == self._mesh.roster.me.zone
             if best is None or (is_near, theirs) > best[0]:
@@ -184,18 +189,19 @@
 
     async def _pull(self, source: fm.Member) -> None:
         try:
-            async with asyncio.timeout(ANSWER_S):
-                answer = await self._ask(source)
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+                answer = await self._request(source)
         except (streams.StreamClosedError, TimeoutError) as error:
-            self._close()
+            self._close_stream()
             self._log.warning(
                 "no answer", source=source.name, why=str(error) or "timeout"
             )
             return
         before = self._state.version
-        self._take(answer)
+        self._apply(answer)
         if self._state.version == before and not self._mesh.should_read_store():
-            # The usual way of a member; what changed is logged by itself.
+            # Routine for a member that does not read the store; changes are
+            # logged where they are applied.
             return
         self._log.info(
             "caught up",
@@ -205,9 +211,9 @@
             records=len(answer.upstreams),
         )
 
-    async def _ask(self, source: fm.Member) -> SyncAnswer:
-        if self._stream is None or self._source != source.address:
-            self._close()
+    async def _request(self, source: fm.Member) -> SyncAnswer:
+        if self._stream is None or self._source_address != source.address:
+            self._close_stream()
             self._stream = await streams.connect(
                 source.address,
                 self._mesh.secret,
@@ -215,15 +221,15 @@
                 self._mesh.roster.me.name,
                 self._stamper,
             )
-            self._source = source.address
-        ask = SyncAsk(self._state.version, self._state.upstreams_offset)
-        await self._stream.send(ask)
+            self._source_address = source.address
+        request = SyncAsk(self._state.version, self._state.upstreams_offset)
+        await self._stream.send(request)
         answer = await self._stream.receive()
         if not isinstance(answer, SyncAnswer):
             raise streams.StreamClosedError("not an answer")
         return answer
 
-    def _take(self, answer: SyncAnswer) -> None:
+    def _apply(self, answer: SyncAnswer) -> None:
         for sink, records, end in (
             (
                 self._catalog.configuration,
@@ -232,12 +238,12 @@
             ),
             (self._catalog.upstreams, answer.upstreams, answer.upstreams_end),
         ):
-            for one in store_messages.decoded(records):
-                sink.on_record(one)
+            for record in store_messages.from_wire(records):
+                sink.on_record(record)
             if end >= 0:
-                sink.on_reached(end)
+                sink.on_progress(end)
 
-    def _close(self) -> None:
+    def _close_stream(self) -> None:
         if self._stream is not None:
             self._stream.close()
             self._stream = None
@@ -253,23 +259,23 @@
         self,
         mesh: mesh_lib.Mesh,
         is_candidate: Callable[[], bool],
-        on_end: Callable[[fm.Member], None],
+        on_exit: Callable[[fm.Member], None],
     ):
         self._mesh = mesh
         self._is_candidate = is_candidate
-        self._on_end = on_end
+        self._on_exit = on_exit
         self._stamper = hlc.HybridClock(clock_lib.SystemClock())
 
     async def run(self) -> None:
-        """Watches for ever."""
+        """Watches the holder while this instance is a candidate."""
         while True:
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             holder = self._holder()
             if holder is not None and self._is_candidate():
                 await self._watch(holder)
 
     async def stop(self) -> None:
-        """The stream ends with the component."""
+        """Does nothing: the stream ends with the component."""
 
     def _holder(self) -> fm.Member | None:
         mesh = self._mesh
@@ -280,7 +286,7 @@
             return None
         return holder
 
-    def _is_still(self, holder: fm.Member) -> bool:
+    def _is_current_holder(self, holder: fm.Member) -> bool:
         now = self._holder()
         return now is not None and (now.name, now.incarnation) == (
             holder.name,
@@ -297,16 +303,16 @@
                 self._stamper,
             )
         except streams.StreamRefusedError:
-            self._on_end(holder)
-            await asyncio.sleep(WATCH_PAUSE_S)
+            self._on_exit(holder)
+            await asyncio.sleep(WATCH_INTERVAL_S)
             return
         except streams.StreamClosedError:
-            await asyncio.sleep(WATCH_PAUSE_S)
+            await asyncio.sleep(WATCH_INTERVAL_S)
             return
         receiving = asyncio.create_task(_until_closed(stream))
         try:
-            while self._is_still(holder) and not receiving.done():
-                await asyncio.wait([receiving], timeout=WATCH_PAUSE_S)
+            while self._is_current_holder(holder) and not receiving.done():
+                await asyncio.wait([receiving], timeout=WATCH_INTERVAL_S)
         finally:
             receiving.cancel()
             stream.close()
