--- a/sesamecross/gateway/lease_manager.py
+++ b/sesamecross/gateway/lease_manager.py
@@ -1,4 +1,4 @@
-"""Keeps the lease on the store: asks, renews, and proves a holder's death."""
+"""Acquires, renews and releases the lease on the store."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,17 +17,17 @@
 from sesamecross.utils import rendezvous
 
 LEASE_KEY = "lease"
-STEP_S = 0.1
-PROBE_EVERY_S = 0.4
-PROBE_S = 0.3
+STEP_INTERVAL_S = 0.1
+PROBE_INTERVAL_S = 0.4
+PROBE_TIMEOUT_S = 0.3
 # How many instances watch the holder.
-CANDIDATES = 3
-# A planned stop does not wait longer for the store to take the lease back.
+CANDIDATE_COUNT = 3
+# How long a planned stop waits for the store to record the release.
 RELEASE_TIMEOUT_S = store_client.CALL_TIMEOUT_S
 
 
 class _LeaseRecord(msgspec.Struct, frozen=True):
-    """The lease as it stands on the store; see `lease_lib.Record`."""
+    """The lease as stored; see `lease_lib.Record`."""
 
     holder: str
     incarnation: int
@@ -35,17 +35,17 @@
     is_released: bool
 
 
-def suspended_clock() -> float:
-    """Returns seconds of the clock that goes on while a machine sleeps."""
+def boottime_clock() -> float:
+    """Returns CLOCK_BOOTTIME in seconds, which counts time spent suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class LeaseManager:
-    """Component around the lease's state machine.
+    """Component that drives the lease's state machine.
 
     Attributes:
-      release_s: How long `stop` waits for the store; a process whose grace
-        ends sets less.
+      release_timeout_s: How long `stop` waits for the store; lowered when the
+        process's grace period is about to end.
     """
 
     is_vital = False
@@ -59,15 +59,15 @@
         mesh: mesh_lib.Mesh,
         gap_s: Callable[[], float],
     ):
-        """Sets the keeper up.
+        """Initializes the manager.
 
         Args:
           client: The store.
-          proxy: The store by way of others, where it turns this one away.
-          topic: Where the lease is kept.
-          mesh: What the other instances say.
-          gap_s: The least time between the orders of two holders, as it holds
-            now: settings change while the instance runs.
+          proxy: The store by way of other instances, if it refuses this one.
+          topic: The topic that holds the lease.
+          mesh: Membership, and news of the lease from other instances.
+          gap_s: Returns the minimum time between the orders of two holders. A
+            function, as settings change while the instance runs.
         """
         self._client = client
         self._proxy = proxy
@@ -75,56 +75,56 @@
         self._mesh = mesh
         self._gap_s = gap_s
         self._log = logs.part("lease")
-        self._probed_s = 0.0
-        self._held = False
+        self._last_probe_s = 0.0
+        self._was_holding = False
         self.release_timeout_s = RELEASE_TIMEOUT_S
         self.machine: lease_lib.LeaseStateMachine | None = None
 
     @property
     def may_order(self) -> bool:
-        """Whether an order may leave at this very moment."""
+        """Whether an order may be sent at this moment."""
         machine = self.machine
-        return machine is not None and machine.may_order(suspended_clock())
+        return machine is not None and machine.may_order(boottime_clock())
 
     @property
     def holds(self) -> bool:
         """Whether this instance is the holder."""
         machine = self.machine
-        return machine is not None and machine.holds(suspended_clock())
+        return machine is not None and machine.holds(boottime_clock())
 
     @property
     def fence(self) -> int:
-        """The fencing token of the own orders."""
+        """The fencing token of this instance's orders."""
         return self.machine.fence
 
     def is_candidate(self) -> bool:
-        """Whether this instance is among the next ones in line."""
-        return self._mesh.roster is not None and self._rank() < CANDIDATES
+        """Returns whether this instance is among the next candidates."""
+        return self._mesh.roster is not None and self._rank() < CANDIDATE_COUNT
 
     def on_holder_exit(self, holder: fm.Member) -> None:
-        """The holder's port refuses connections: its process is over."""
+        """Handles a holder whose port refuses connections: it has exited."""
         if self.machine is not None:
-            self._log.info("holder's process is over", holder=holder.name)
+            self._log.info("holder has exited", holder=holder.name)
             self.machine.holder_exited(
-                holder.name, holder.incarnation, suspended_clock()
+                holder.name, holder.incarnation, boottime_clock()
             )
 
     async def run(self) -> None:
-        """Steps for ever."""
+        """Runs the state machine periodically."""
         while True:
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(STEP_INTERVAL_S)
             if self._mesh.roster is None:
                 continue
             me = self._mesh.roster.me
             if self.machine is None:
                 self.machine = lease_lib.LeaseStateMachine(
-                    me.name, me.incarnation, self._gap_s(), suspended_clock()
+                    me.name, me.incarnation, self._gap_s(), boottime_clock()
                 )
             self.machine.gap_s = self._gap_s()
             await self._step()
 
     async def stop(self) -> None:
-        """Gives the lease back, so that the next holder need not wait."""
+        """Releases the lease, so that the next holder need not wait."""
         if not self.holds:
             return
         me = self._mesh.roster.me
@@ -132,36 +132,37 @@
         record = _LeaseRecord(me.name, me.incarnation, fence, True)
         at = self.machine.released(-1)
         outcome = "no answer in time"
-        # The call has left by then, and mostly takes effect all the same.
+        # The call was sent before the timeout, so it usually takes effect.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.release_timeout_s):
                 outcome = await self._release(record, at)
-        self._log.info("given back", fence=fence, outcome=str(outcome))
-        # Not before the store has it: who looks too early finds a lease that
-        # is still held, and waits until it would have run out.
-        self._mesh.tell_release(self._next_in_line())
+        self._log.info("released", fence=fence, outcome=str(outcome))
+        # Announced only after the store has recorded the release: a candidate
+        # that reads too early finds the lease held, and waits until it expires.
+        self._mesh.announce_release(self._next_candidates())
 
     async def _release(
         self, record: _LeaseRecord, at: int
     ) -> store.AppendOutcome:
-        """Writes the release, only where the lease is still the own one.
+        """Writes the release if this instance still holds the lease.
 
-        The store may carry it out seconds later. Without a condition it would
-        stand behind the next holder's record, and a third one would find the
-        lease free while that one gives orders.
+        The store may apply it seconds later. Without a condition it could
+        follow the next holder's record, and a third instance would find the
+        lease free while the next holder gives orders.
         """
         value = msgspec.msgpack.encode(record)
         outcome = await self._client.append(self._topic, LEASE_KEY, value, at)
         if not isinstance(outcome, store.Conflict):
             return outcome
-        # Mostly a renewal of its own, whose answer had not come.
+        # Usually caused by this instance's own renewal, whose answer was
+        # missing.
         newest = await self._client.newest(self._topic, "")
         if not isinstance(newest, store.NewestPage):
             return outcome
-        found = _lease_in(newest)
-        if found is None or found.is_released:
+        current = _find_lease(newest)
+        if current is None or current.is_released:
             return outcome
-        if (found.holder, found.incarnation) != (
+        if (current.holder, current.incarnation) != (
             record.holder,
             record.incarnation,
         ):
@@ -171,46 +172,48 @@
         )
 
     async def _step(self) -> None:
-        now_s = suspended_clock()
-        heard = self._holder_heard()
-        if not heard:
-            await self._look_for_death(now_s)
-        step = self.machine.next_action(now_s, self._rank(), heard)
-        match step:
+        now_s = boottime_clock()
+        is_holder_live = self._is_holder_live()
+        if not is_holder_live:
+            await self._detect_holder_exit(now_s)
+        action = self.machine.next_action(now_s, self._rank(), is_holder_live)
+        match action:
             case lease_lib.ReadLease():
-                await self._look()
+                await self._read_record()
             case lease_lib.WriteLease(at, fence):
-                await self._write(at, fence)
-        self._tell()
+                await self._write_record(at, fence)
+        self._publish_state()
 
     def _rank(self) -> int:
         now_s = asyncio.get_running_loop().time()
         me = self._mesh.roster.me.name
         names = [member.name for member in self._mesh.roster.alive(now_s)]
-        order = rendezvous.top("lease", [*names, me], len(names) + 1)
-        return order.index(me)
+        ranking = rendezvous.top("lease", [*names, me], len(names) + 1)
+        return ranking.index(me)
 
-    def _next_in_line(self) -> list[fm.Member]:
-        """Returns who takes the lease once this instance is gone."""
+    def _next_candidates(self) -> list[fm.Member]:
+        """Returns the next candidates, assuming this instance is gone."""
         now_s = asyncio.get_running_loop().time()
-        alive = {one.name: one for one in self._mesh.roster.alive(now_s)}
-        names = rendezvous.top("lease", alive, CANDIDATES)
+        alive = {
+            member.name: member for member in self._mesh.roster.alive(now_s)
+        }
+        names = rendezvous.top("lease", alive, CANDIDATE_COUNT)
         return [alive[name] for name in names]
 
-    def _holder_heard(self) -> bool:
+    def _is_holder_live(self) -> bool:
         lease = self._mesh.lease
         roster = self._mesh.roster
         if lease is None or lease.holder == roster.me.name:
             return False
         now_s = asyncio.get_running_loop().time()
-        left_s = lease.left_s - (now_s - self._mesh.lease_heard_s)
+        left_s = lease.left_s - (now_s - self._mesh.lease_received_s)
         return left_s > 0 and roster.is_alive(lease.holder, now_s)
 
-    async def _look_for_death(self, now_s: float) -> None:
-        """Tries to prove that the holder's process is over.
+    async def _detect_holder_exit(self, now_s: float) -> None:
+        """Checks whether the holder's process has ended.
 
-        A port that refuses connections, or a later life of the instance, is
-        proof; silence is none: the holder may be cut off and alive.
+        A port that refuses connections, or a later incarnation of the instance,
+        proves it. Silence does not: the holder may be alive but partitioned.
         """
         record = self.machine.record
         if record is None or record.holder in ("", self._mesh.me.name):
@@ -221,22 +224,22 @@
         if holder.incarnation > record.incarnation:
             self.machine.holder_exited(record.holder, record.incarnation, now_s)
             return
-        if now_s - self._probed_s < PROBE_EVERY_S:
+        if now_s - self._last_probe_s < PROBE_INTERVAL_S:
             return
-        self._probed_s = now_s
-        if await _refuses(holder.address):
-            self._log.info("holder's process is over", holder=record.holder)
+        self._last_probe_s = now_s
+        if await _refuses_connections(holder.address):
+            self._log.info("holder has exited", holder=record.holder)
             self.machine.holder_exited(
-                record.holder, record.incarnation, suspended_clock()
+                record.holder, record.incarnation, boottime_clock()
             )
 
-    async def _look(self) -> None:
+    async def _read_record(self) -> None:
         outcome = await self._proxy.newest(self._topic)
         if not isinstance(outcome, store.NewestPage):
             return
-        self.machine.read(_lease_in(outcome), outcome.end, suspended_clock())
+        self.machine.read(_find_lease(outcome), outcome.end, boottime_clock())
 
-    async def _write(self, at: int, fence: int) -> None:
+    async def _write_record(self, at: int, fence: int) -> None:
         me = self._mesh.roster.me
         record = _LeaseRecord(me.name, me.incarnation, fence, False)
         outcome = await self._proxy.append(
@@ -250,29 +253,31 @@
             case store.NotDone():
                 self.machine.not_written()
 
-    def _tell(self) -> None:
+    def _publish_state(self) -> None:
         holds = self.holds
-        if holds != self._held:
-            self._held = holds
+        if holds != self._was_holding:
+            self._was_holding = holds
             self._log.info(
                 "taken" if holds else "lost", fence=self.machine.fence
             )
         if holds:
             me = self._mesh.roster.me
-            news = fm.LeaseAnnouncement(
+            announcement = fm.LeaseAnnouncement(
                 me.name,
                 me.incarnation,
                 self.machine.fence,
-                self.machine.left_s(suspended_clock()),
+                self.machine.left_s(boottime_clock()),
+            )
+            self._mesh.update_lease(
+                announcement, asyncio.get_running_loop().time()
             )
-            self._mesh.note_lease(news, asyncio.get_running_loop().time())
 
 
-def _lease_in(newest: store.NewestPage) -> lease_lib.Record | None:
+def _find_lease(newest: store.NewestPage) -> lease_lib.Record | None:
     record = None
-    for one in newest.records:
-        if one.key == LEASE_KEY and one.value is not None:
-            record = _decode(one.value, one.offset)
+    for keyed in newest.records:
+        if keyed.key == LEASE_KEY and keyed.value is not None:
+            record = _decode(keyed.value, keyed.offset)
     return record
 
 
@@ -280,17 +285,17 @@
     try:
         wire = msgspec.msgpack.decode(value, type=_LeaseRecord)
     except (msgspec.MsgspecError, RecursionError):
-        # The latter where a record is nested deeply.
+        # RecursionError: the record is nested deeply.
         return None
     return lease_lib.Record(
         wire.holder, wire.incarnation, offset, wire.fence, wire.is_released
     )
 
 
-async def _refuses(address: str) -> bool:
+async def _refuses_connections(address: str) -> bool:
     host, _, port = address.rpartition(":")
     try:
-        async with asyncio.timeout(PROBE_S):
+        async with asyncio.timeout(PROBE_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except ConnectionRefusedError:
         return True
--- a/sesamecross/gateway/lease_manager_test.py
+++ b/sesamecross/gateway/lease_manager_test.py
@@ -1,4 +1,4 @@
-"""Tests of the lease's keeper: the gap that holds now."""
+"""Tests of the lease manager: the gap in force, release and takeover."""
 
 import asyncio
 import dataclasses
@@ -25,10 +25,10 @@
 
 
 def first_order_s(machine: lease_lib.LeaseStateMachine) -> float:
-    """Lets the machine take the lease; returns the gap that it kept."""
+    """Lets the machine acquire the lease; returns the gap that it kept."""
     end = FREE.offset + 1
-    for tenth in range(200):
-        now_s = START_S + tenth / 10
+    for step in range(200):
+        now_s = START_S + step / 10
         match machine.next_action(now_s, 0, False):
             case lease_lib.ReadLease():
                 machine.read(FREE, end, now_s)
@@ -37,17 +37,19 @@
                 end += 1
         if machine.may_order(now_s):
             return now_s - START_S
-    raise AssertionError("never took the lease")
+    raise AssertionError("never acquired the lease")
 
 
 @pytest.mark.parametrize("gap_s", [1.0, 6.0])
 @pytest.mark.parametrize("is_running", [False, True])
-def test_a_new_lease_gap_holds_without_a_start(monkeypatch, gap_s, is_running):
-    """Two instances gave orders closer to each other than operators allow.
+def test_changed_lease_gap_applies_without_restart(
+    monkeypatch, gap_s, is_running
+):
+    """Guards against a lease gap that is fixed when the instance starts.
 
-    They had raised the gap while the instances ran. The log said that the
-    new bounds were in force, but the next holder kept the gap of its start,
-    which it had been given as a number.
+    Operators raised the gap while the instances ran. The log said that the new
+    bounds were in force, but the next holder used the number passed at its
+    start, and two instances gave orders closer together than allowed.
     """
     gateway = app.GatewayApp.from_config(
         INSTANCE, program.adapter(), settings.SettingsFile("")
@@ -56,7 +58,7 @@
     changed = dataclasses.replace(
         INSTANCE, bounds=dataclasses.replace(INSTANCE.bounds, lease_s=gap_s)
     )
-    monkeypatch.setattr(lease_manager, "suspended_clock", lambda: START_S)
+    monkeypatch.setattr(lease_manager, "boottime_clock", lambda: START_S)
     steps = []
 
     async def step():
@@ -67,43 +69,41 @@
             raise asyncio.CancelledError
 
     monkeypatch.setattr(gateway.lease, "_step", step)
-    monkeypatch.setattr(lease_manager, "STEP_S", 0)
+    monkeypatch.setattr(lease_manager, "STEP_INTERVAL_S", 0)
 
-    async def play():
+    async def scenario():
         gateway.mesh.join(ME, b"", ())
         if not is_running:
             gateway.state.apply_settings(changed)
         await gateway.lease.run()
 
     with pytest.raises(asyncio.CancelledError):
-        asyncio.run(play())
-    kept_s = first_order_s(steps[-1])
-    assert gap_s <= kept_s < gap_s + 1.0
+        asyncio.run(scenario())
+    observed_gap_s = first_order_s(steps[-1])
+    assert gap_s <= observed_gap_s < gap_s + 1.0
 
 
 @pytest.mark.parametrize(
     "damaged",
     [b"\x81\xa1x" + b"\x91" * 100_000 + b"\xc0", b"", b"\xff", b"\x80"],
 )
-def test_a_damaged_lease_is_none(damaged):
-    """Nobody could take the lease, and no orders were given.
+def test_damaged_lease_record_is_ignored(damaged):
+    """Guards against a damaged record that keeps everyone from the lease.
 
-    The lease's record could not be read, and reading it failed at each try
-    in a way that the decoder did not expect.
+    Decoding the record raised an exception that was not handled, on each
+    attempt, so no instance acquired the lease and no orders were given.
     """
     assert lease_manager._decode(damaged, 5) is None
 
 
 class _Topic:
-    """The lease's topic on a store that answers as the test says.
-
-    It stands for the client and for the proxy alike.
+    """The lease's topic on a fake store, used as both client and proxy.
 
     Attributes:
       now_s: The clock that counts suspension.
       writes: Appends that took effect, of the lease and of its release.
       is_slow: Whether a renewal's answer waits for `answers`.
-      release: How the release is carried out.
+      release: How the release is executed.
     """
 
     def __init__(self, release) -> None:
@@ -113,7 +113,7 @@
         self.answers = asyncio.Event()
         self.release = release
 
-    def take(self, value: bytes, at: int | None) -> store.AppendOutcome:
+    def apply(self, value: bytes, at: int | None) -> store.AppendOutcome:
         if at not in (None, len(self.writes)):
             return store.Conflict(len(self.writes))
         self.writes.append(
@@ -136,130 +136,127 @@
             value, type=lease_manager._LeaseRecord
         ).is_released:
             return await self.release(self, value, at)
-        answer = self.take(value, at)
+        answer = self.apply(value, at)
         if self.is_slow:
             await self.answers.wait()
         return answer
 
-    async def let_pass(self, steps: int) -> None:
-        """Lets the keeper take steps, a tenth of a second each."""
+    async def run_steps(self, steps: int) -> None:
+        """Lets the manager run for some steps of 0.1 s each."""
         for _ in range(steps):
             self.now_s += 0.1
             for _ in range(5):
                 await asyncio.sleep(0)
 
 
-async def lands_late(
+async def applied_late(
     topic: _Topic, value: bytes, at: int | None
 ) -> store.AppendOutcome:
-    await topic.let_pass(14)
-    return topic.take(value, at)
+    await topic.run_steps(14)
+    return topic.apply(value, at)
 
 
-async def is_answered_late(
+async def answered_late(
     topic: _Topic, value: bytes, at: int | None
 ) -> store.AppendOutcome:
-    answer = topic.take(value, at)
-    await topic.let_pass(14)
+    answer = topic.apply(value, at)
+    await topic.run_steps(14)
     return answer
 
 
-async def comes_before_the_renewals_answer(
+async def applied_before_renewal_answer(
     topic: _Topic, value: bytes, at: int | None
 ) -> store.AppendOutcome:
-    answer = topic.take(value, at)
+    answer = topic.apply(value, at)
     topic.answers.set()
-    await topic.let_pass(14)
+    await topic.run_steps(14)
     return answer
 
 
-def keeper_at(topic: _Topic, monkeypatch) -> lease_manager.LeaseManager:
-    """Returns a keeper of an instance that the others know."""
+def manager_on(topic: _Topic, monkeypatch) -> lease_manager.LeaseManager:
+    """Returns the manager of an instance that has joined the mesh."""
     gateway = app.GatewayApp.from_config(
         INSTANCE, program.adapter(), settings.SettingsFile("")
     )
     gateway.components()
     gateway.mesh.join(ME, b"secret", ())
-    keeper = gateway.lease
-    keeper._client = keeper._proxy = topic
-    monkeypatch.setattr(lease_manager, "suspended_clock", lambda: topic.now_s)
-    monkeypatch.setattr(lease_manager, "STEP_S", 0)
-    return keeper
+    manager = gateway.lease
+    manager._client = manager._proxy = topic
+    monkeypatch.setattr(lease_manager, "boottime_clock", lambda: topic.now_s)
+    monkeypatch.setattr(lease_manager, "STEP_INTERVAL_S", 0)
+    return manager
 
 
 @pytest.mark.parametrize(
     ("release", "is_renewing"),
     [
-        (lands_late, False),
-        (is_answered_late, False),
-        (comes_before_the_renewals_answer, True),
+        (applied_late, False),
+        (answered_late, False),
+        (applied_before_renewal_answer, True),
     ],
 )
-def test_a_lease_that_is_given_back_is_not_taken_again(
-    monkeypatch, release, is_renewing
-):
-    """After a planned stop of the holder nobody gave orders for seconds.
+def test_released_lease_is_not_reacquired(monkeypatch, release, is_renewing):
+    """Guards against a holder that reacquires the lease after releasing it.
 
-    The holder gave the lease back, and the store took long to answer. Until
-    it did, the holder's own steps went on: they found the lease free, and
-    took it once more, or a renewal's late answer made it the holder again.
-    Its process ended then, and the others waited for a holder that was gone.
+    The store was slow to answer the release. Meanwhile the holder's own steps
+    found the lease free and acquired it again, or the late answer to a renewal
+    made it the holder again. Its process then ended, and for seconds nobody
+    gave orders, as the others waited for a holder that was gone.
     """
 
-    async def play():
+    async def scenario():
         topic = _Topic(release)
-        keeper = keeper_at(topic, monkeypatch)
-        running = asyncio.create_task(keeper.run())
-        while not keeper.holds:
-            await topic.let_pass(1)
+        manager = manager_on(topic, monkeypatch)
+        running = asyncio.create_task(manager.run())
+        while not manager.holds:
+            await topic.run_steps(1)
         if is_renewing:
             topic.is_slow = True
             taken = len(topic.writes)
             while len(topic.writes) == taken:
-                await topic.let_pass(1)
+                await topic.run_steps(1)
         before = len(topic.writes)
-        await keeper.stop()
+        await manager.stop()
         assert not running.done()
         running.cancel()
-        return topic.writes[before:], keeper.holds
+        return topic.writes[before:], manager.holds
 
-    written, holds = asyncio.run(play())
+    written, holds = asyncio.run(scenario())
     assert [record.is_released for record in written] == [True]
     assert not holds
 
 
 @pytest.mark.parametrize("is_answered", [True, False])
-def test_a_release_that_lands_after_the_next_holder_took_over_changes_nothing(
-    monkeypatch, is_answered
-):
-    """Two instances gave orders closer to each other than operators allow.
+def test_late_release_does_not_affect_the_next_holder(monkeypatch, is_answered):
+    """Guards against a late release that frees the next holder's lease.
 
-    A holder stopped, and the store carried its release out seconds later, as
-    the next one held the lease. Whoever read the topic then found it free;
-    the next holder went on until its renewal failed.
+    The store executed the release seconds after it was sent, while the next
+    holder held the lease. Readers of the topic then found it free, while that
+    holder went on until its renewal failed: two instances gave orders closer
+    together than allowed.
     """
     other = lease_manager._LeaseRecord("front-2", 5, 9, False)
 
-    async def lands_after_another(topic, value, at):
+    async def applied_after_next_holder(topic, value, at):
         topic.writes.append(other)
-        answer = topic.take(value, at)
+        answer = topic.apply(value, at)
         return answer if is_answered else store.Unknown("cut")
 
-    async def play():
-        topic = _Topic(lands_after_another)
-        keeper = keeper_at(topic, monkeypatch)
-        running = asyncio.create_task(keeper.run())
-        while not keeper.holds:
-            await topic.let_pass(1)
-        await keeper.stop()
+    async def scenario():
+        topic = _Topic(applied_after_next_holder)
+        manager = manager_on(topic, monkeypatch)
+        running = asyncio.create_task(manager.run())
+        while not manager.holds:
+            await topic.run_steps(1)
+        await manager.stop()
         running.cancel()
         return topic.writes[-1]
 
-    assert asyncio.run(play()) == other
+    assert asyncio.run(scenario()) == other
 
 
 class _Transport:
-    """Keeps the datagrams by address."""
+    """Records datagrams by address."""
 
     def __init__(self) -> None:
         self.sent: dict[str, list[bytes]] = {}
@@ -272,51 +269,50 @@
         self.sent.setdefault(f"{host}:{port}", []).append(data)
 
 
-async def is_refused(*_) -> store.AppendOutcome:
+async def refused(*_) -> store.AppendOutcome:
     return store.NotDone("turned away")
 
 
-@pytest.mark.parametrize("release", [is_answered_late, is_refused])
-@pytest.mark.parametrize("others", [1, lease_manager.CANDIDATES])
-def test_the_next_in_line_hear_that_the_lease_was_given_back(
-    monkeypatch, release, others
-):
-    """After a planned stop of the holder nobody gave orders for seconds.
+@pytest.mark.parametrize("release", [answered_late, refused])
+@pytest.mark.parametrize("others", [1, lease_manager.CANDIDATE_COUNT])
+def test_candidates_are_told_of_a_release(monkeypatch, release, others):
+    """Guards against candidates that do not learn of a release.
 
-    It noted that the lease was given back, for its next report to say so. The
-    mesh tells every tenth of a second, and was stopped before. The others
-    went on to rest, as they had heard that the lease was good for seconds.
+    The holder noted the release for its next report, but the mesh sends every
+    0.1 s and was stopped before that. The candidates kept waiting, as they had
+    heard that the lease was valid for seconds, and nobody gave orders
+    meanwhile.
     """
     members = [
         fm.Member(f"front-{i}", 7, "z1", f"127.0.0.1:740{i}", -1, -1)
         for i in range(2, 2 + others)
     ]
 
-    async def play():
+    async def scenario():
         monkeypatch.setattr(asyncio.get_running_loop(), "time", lambda: START_S)
         topic = _Topic(release)
-        keeper = keeper_at(topic, monkeypatch)
-        mesh = keeper._mesh
+        manager = manager_on(topic, monkeypatch)
+        mesh = manager._mesh
         mesh.transport = _Transport()
         for member in members:
             mesh.roster.heard(member, START_S)
-        running = asyncio.create_task(keeper.run())
-        while not keeper.holds:
-            await topic.let_pass(1)
-        await topic.let_pass(1)
+        running = asyncio.create_task(manager.run())
+        while not manager.holds:
+            await topic.run_steps(1)
+        await topic.run_steps(1)
         peers = []
         for member in members:
-            peer = keeper_at(topic, monkeypatch)
+            peer = manager_on(topic, monkeypatch)
             peer._mesh.join(member, b"secret", (ME,))
             peer._mesh.roster.heard(ME, START_S)
-            peer._mesh.note_lease(mesh.lease, START_S)
-            assert peer._holder_heard()
+            peer._mesh.update_lease(mesh.lease, START_S)
+            assert peer._is_holder_live()
             peers.append(peer)
-        await keeper.stop()
+        await manager.stop()
         running.cancel()
         for member, peer in zip(members, peers, strict=True):
             for data in mesh.transport.sent.get(member.address, []):
-                peer._mesh.received(data)
-        return [peer._holder_heard() for peer in peers]
+                peer._mesh.on_datagram(data)
+        return [peer._is_holder_live() for peer in peers]
 
-    assert asyncio.run(play()) == [False] * others
+    assert asyncio.run(scenario()) == [False] * others
--- a/sesamecross/gateway/mesh_load_test.py
+++ b/sesamecross/gateway/mesh_load_test.py
@@ -1,7 +1,7 @@
-"""Tests of what a hub sends where there are many instances and upstreams.
+"""Tests of what a hub sends with many instances and upstreams.
 
-The pattern: a zone of 15 instances, 87 in all before 68 upstreams, on links of
-5 Mbit/s that carry callers' answers as well.
+The deployment: a zone of 15 instances, 87 instances in all and 68 upstreams, on
+links of 5 Mbit/s that also carry answers to callers.
 """
 
 import asyncio
@@ -18,21 +18,22 @@
 from sesamecross.runtime import metrics as metrics_lib
 
 LINK_BYTES_PER_S = 625_000
-# Of the link, for all that a hub tells its members.
-MOST_SHARE = 0.25
-# Requests last seconds: what runs at an upstream is told at least so often.
-TOLD_S = 0.35
+# The share of the link that a hub may use for its members.
+MAX_LINK_SHARE = 0.25
+# The longest pause between views. Requests last for seconds, so loads this old
+# are still useful.
+MAX_VIEW_PAUSE_S = 0.35
 MEMBERS = 15
 UPSTREAMS = 68
-PLAYED_S = 4.0
+DURATION_S = 4.0
 
 
 class _Transport:
-    """Takes datagrams, and remembers when each member got one."""
+    """Accepts datagrams, and records when each member got one."""
 
     def __init__(self) -> None:
         self.bytes = 0
-        self.told_s: dict[tuple, list[float]] = {}
+        self.sent_at_s: dict[tuple, list[float]] = {}
         self.data: dict[tuple, bytes] = {}
 
     def is_closing(self) -> bool:
@@ -41,7 +42,7 @@
     def sendto(self, data: bytes, address: tuple) -> None:
         self.bytes += len(data)
         now_s = asyncio.get_running_loop().time()
-        self.told_s.setdefault(address, []).append(now_s)
+        self.sent_at_s.setdefault(address, []).append(now_s)
         self.data[address] = data
 
 
@@ -57,7 +58,7 @@
 
 
 def loads(running: int) -> list[fm.UpstreamLoad]:
-    """Returns loads at upstreams whose ids have nothing in common."""
+    """Returns loads at upstreams with dissimilar ids."""
     return [
         fm.UpstreamLoad(f"i-{number * 2654435761 % 2**40:010x}", running, 790)
         for number in range(UPSTREAMS)
@@ -66,13 +67,13 @@
 
 def demand(number: int) -> list[fm.TargetDemand]:
     return [
-        fm.TargetDemand("writers", f"m{one}", 0.4, 0, 0.2, 1.7, 0.03)
-        for one in range(number, number + 20)
+        fm.TargetDemand("writers", f"m{model}", 0.4, 0, 0.2, 1.7, 0.03)
+        for model in range(number, number + 20)
     ]
 
 
 def hub() -> tuple[mesh_lib.Mesh, _Transport]:
-    """Returns a hub that has heard all others once."""
+    """Returns a hub that knows only itself."""
     mesh = mesh_lib.Mesh(
         state_lib.State(samples.INSTANCE),
         lambda: fm.Report(member(1, 1), 0, loads(1)),
@@ -84,22 +85,24 @@
     return mesh, transport
 
 
-def hear_all(mesh: mesh_lib.Mesh, number: int) -> None:
-    """All members report, and the hubs of five other zones."""
+def deliver_all(mesh: mesh_lib.Mesh, number: int) -> None:
+    """Takes in reports of all members and summaries of five other hubs."""
     now_s = asyncio.get_running_loop().time()
-    for one in range(2, MEMBERS + 1):
-        report = fm.Report(member(1, one), number, loads(1), [], demand(one))
+    for index in range(2, MEMBERS + 1):
+        report = fm.Report(
+            member(1, index), number, loads(1), [], demand(index)
+        )
         mesh.roster.heard(report.me, now_s)
         mesh._reports.take(report, now_s)
     for zone in range(2, 7):
-        members = [member(zone, one) for one in range(1, MEMBERS + 1)]
+        members = [member(zone, index) for index in range(1, MEMBERS + 1)]
         summary = fm.Summary(members[0], number, members, loads(3))
-        for one in members:
-            mesh.roster.heard(one, now_s)
+        for each in members:
+            mesh.roster.heard(each, now_s)
         mesh._summaries.take(summary, now_s)
 
 
-def play(monkeypatch) -> tuple[mesh_lib.Mesh, _Transport]:
+def run_hub(monkeypatch) -> tuple[mesh_lib.Mesh, _Transport]:
     async def run() -> tuple[mesh_lib.Mesh, _Transport]:
         mesh, transport = hub()
         monkeypatch.setattr(mesh, "_is_hub", lambda now_s: True)
@@ -107,8 +110,8 @@
             roster_lib.Roster, "hub_of", lambda *_: mesh.me.name
         )
         running = asyncio.create_task(mesh.run())
-        for number in range(round(PLAYED_S / 0.2)):
-            hear_all(mesh, number + 1)
+        for number in range(round(DURATION_S / 0.2)):
+            deliver_all(mesh, number + 1)
             await asyncio.sleep(0.2)
         running.cancel()
         return mesh, transport
@@ -117,41 +120,43 @@
         return runner.run(run())
 
 
-def test_a_hub_leaves_a_slow_link_to_callers(monkeypatch):
+def test_hub_leaves_most_of_a_slow_link_to_callers(monkeypatch):
     """Guards against views that fill a hub's link and are lost."""
-    _, transport = play(monkeypatch)
-    assert transport.bytes <= PLAYED_S * LINK_BYTES_PER_S * MOST_SHARE
+    _, transport = run_hub(monkeypatch)
+    assert transport.bytes <= DURATION_S * LINK_BYTES_PER_S * MAX_LINK_SHARE
 
 
-def test_members_hear_of_loads_every_few_tenths(monkeypatch):
-    """Guards against requests sent by a view in which engines seem idle."""
-    _, transport = play(monkeypatch)
-    assert len(transport.told_s) == MEMBERS - 1
-    for told_s in transport.told_s.values():
-        pauses = [b - a for a, b in zip(told_s, told_s[1:], strict=False)]
-        assert max(pauses) <= TOLD_S
+def test_members_get_loads_every_few_tenths_of_a_second(monkeypatch):
+    """Guards against routing by an outdated view in which engines seem idle."""
+    _, transport = run_hub(monkeypatch)
+    assert len(transport.sent_at_s) == MEMBERS - 1
+    for sent_at_s in transport.sent_at_s.values():
+        pauses = [b - a for a, b in zip(sent_at_s, sent_at_s[1:], strict=False)]
+        assert max(pauses) <= MAX_VIEW_PAUSE_S
 
 
-def test_a_view_says_what_it_said_before_it_was_packed(monkeypatch):
-    hub_mesh, transport = play(monkeypatch)
+def test_view_survives_encoding(monkeypatch):
+    hub_mesh, transport = run_hub(monkeypatch)
 
-    async def hear() -> mesh_lib.Mesh:
+    async def receive() -> mesh_lib.Mesh:
         mesh = mesh_lib.Mesh(
             state_lib.State(samples.INSTANCE),
             lambda: fm.Report(member(1, 2), 0, loads(1)),
             metrics_lib.Metrics(),
         )
         mesh.join(member(1, 2), b"secret", ())
-        mesh.received(transport.data["10.1.0.2", 7380])
+        mesh.on_datagram(transport.data["10.1.0.2", 7380])
         return mesh
 
-    heard = asyncio.run(hear())
-    assert heard.roster.get(hub_mesh.me.name) == hub_mesh.me
+    receiver = asyncio.run(receive())
+    assert receiver.roster.get(hub_mesh.me.name) == hub_mesh.me
 
 
-@pytest.mark.parametrize("asks", [0, 20, 1000])
-def test_own_requests_are_not_counted_as_the_others(monkeypatch, asks):
-    """Guards against own requests counted twice at a busy instance."""
+@pytest.mark.parametrize("skipped_numbers", [0, 20, 1000])
+def test_own_requests_are_not_counted_as_those_of_others(
+    monkeypatch, skipped_numbers
+):
+    """Guards against own requests that are counted twice on a busy instance."""
     name = loads(1)[0].upstream
 
     async def run() -> float:
@@ -171,12 +176,12 @@
         monkeypatch.setattr(
             roster_lib.Roster, "hub_of", lambda *_: member(1, 1).name
         )
-        mesh._tell_hub(now_s)
+        mesh._report_to_hub(now_s)
         number = mesh._last_report.number
-        for _ in range(asks):
+        for _ in range(skipped_numbers):
             mesh.next_number()
         mesh._last_report = None
-        mesh._tell_hub(now_s)
+        mesh._report_to_hub(now_s)
         taken = {member(1, 2).name: number}
         view = fm.View(member(1, 1), 9, taken, [], loads(5))
         mesh._on_view(view, now_s)
