--- a/sesamecross/gateway/engine_tracker.py
+++ b/sesamecross/gateway/engine_tracker.py
@@ -1,9 +1,9 @@
-"""Keeps the books on engines by their entries, answers and reports.
+"""Tracks engines by their entries, order answers and reports.
 
-Why: an order is sound only for what an engine holds at a certain count of
-orders. Each engine is asked whenever its books are in doubt, and a report that
-comes after refused orders tells which of two things was wrong: another order
-was under way, or the books had another count than the engine.
+An order is valid only for what an engine holds at a certain count of orders. An
+engine is asked for a report whenever its tracked state is uncertain. A report
+that follows refused orders shows which of two causes applies: another order was
+under way, or the tracked count of orders differed from the engine's.
 """
 
 import asyncio
@@ -23,29 +23,30 @@
 from sesamecross.runtime import logs
 from sesamecross.runtime import metrics as metrics_lib
 
-# After a conflict or a lost answer, until the engine's report covers it.
-ASK_AGAIN_S = 0.25
-# After so many conflicts in a row an engine is asked: one alone is mostly an
-# unload that waits for a model's last requests.
-CONFLICTS_ASKED = 2
-# Whether an adapter that departs is gone is asked this often: its requests go
-# on for seconds.
-DEPARTING_S = 0.5
+# How long after a conflict or a lost answer until the engine's report covers
+# it.
+REQUERY_DELAY_S = 0.25
+# An engine is asked for a report after this many conflicts in a row. A single
+# conflict is usually an unload that waits for a model's last requests.
+CONFLICTS_BEFORE_QUERY = 2
+# How often to check whether an adapter being unloaded is gone: its requests
+# last for seconds.
+UNLOAD_CHECK_INTERVAL_S = 0.5
 # How long a load may be overdue before the engine is asked.
-OVERDUE_S = 0.15
+LOAD_OVERDUE_S = 0.15
 # A model without requests is gone this soon after its unload was accepted.
-UNLOAD_S = 0.03
+UNLOAD_SETTLE_S = 0.03
 
 Spawn = Callable[[Coroutine[Any, Any, None]], None]
 
 
 class ConflictCause(enum.Enum):
-    """What a report says of the orders that an engine refused before it.
+    """Why an engine refused orders, according to its next report.
 
     Attributes:
       UNDER_WAY: Another order is under way there.
-      COUNT: The books have another count of orders than the engine.
-      OVER: Neither any more.
+      COUNT: The tracked count of orders differs from the engine's.
+      OVER: Neither applies any more.
     """
 
     UNDER_WAY = "another order under way"
@@ -53,14 +54,16 @@
     OVER = "over"
 
 
-def conflict_cause(books: int, report: serving.EngineReport) -> ConflictCause:
-    """Returns why an engine refused orders, as far as its report tells.
+def conflict_cause(
+    expected_orders: int, report: serving.EngineReport
+) -> ConflictCause:
+    """Returns why an engine refused orders, as far as its report shows.
 
     Args:
-      books: The count of orders by the books.
-      report: What the engine said of itself after the refusals.
+      expected_orders: The tracked count of orders.
+      report: The engine's report after the refusals.
     """
-    if report.orders != books:
+    if report.orders != expected_orders:
         return ConflictCause.COUNT
     if report.is_busy:
         return ConflictCause.UNDER_WAY
@@ -69,57 +72,60 @@
 
 @dataclasses.dataclass(slots=True)
 class TrackedEngine:
-    """One engine's ledger and what is under way there.
+    """One engine's inventory and the state of calls to it.
 
     Attributes:
-      is_calling: A question or an order has not been answered yet.
-      ask_s: Before then it gets neither questions nor orders.
-      look_s: When it is asked next whether adapters that depart are gone.
-      conflicts: Orders in a row that met a conflict.
+      has_open_call: A report request or an order has not been answered yet.
+      not_before_s: Neither report requests nor orders are sent before then.
+      next_unload_check_s: When to check next whether adapters being unloaded
+        are gone.
+      conflicts: Number of consecutive orders that met a conflict.
     """
 
     inventory: engine_inventory.EngineInventory
-    is_calling: bool = False
-    ask_s: float = 0.0
-    look_s: float = 0.0
+    has_open_call: bool = False
+    not_before_s: float = 0.0
+    next_unload_check_s: float = 0.0
     conflicts: int = 0
 
-    def is_free(self, now_s: float) -> bool:
-        """Whether an order may be given now."""
-        is_loading = any("/" not in one for one in self.inventory.arriving)
+    def can_take_order(self, now_s: float) -> bool:
+        """Returns whether an order may be sent now."""
+        is_loading = any(
+            "/" not in target for target in self.inventory.arriving
+        )
         return (
-            not self.is_calling
+            not self.has_open_call
             and self.inventory.is_fully_known
             and not is_loading
-            and now_s >= self.ask_s
+            and now_s >= self.not_before_s
         )
 
-    def is_in_doubt(self, now_s: float) -> bool:
-        """Whether something isn't known, or overdue."""
+    def needs_report(self, now_s: float) -> bool:
+        """Returns whether a report is needed: state is uncertain or overdue."""
         is_overdue = any(
-            "/" not in target and at_s + OVERDUE_S <= now_s
+            "/" not in target and at_s + LOAD_OVERDUE_S <= now_s
             for target, at_s in self.inventory.arriving.items()
         )
-        is_refused = self.conflicts >= CONFLICTS_ASKED
+        is_refused = self.conflicts >= CONFLICTS_BEFORE_QUERY
         return not self.inventory.is_fully_known or is_overdue or is_refused
 
 
 class EngineTracker:
-    """The books on all engines, empty when the lease is taken.
+    """The tracked state of all engines; empty when the lease is acquired.
 
     Attributes:
-      engine_came_s: When an engine was seen for the first time last.
+      last_engine_added_s: When an engine was last seen for the first time.
     """
 
     __slots__ = (
-        "engine_came_s",
+        "last_engine_added_s",
         "_state",
         "_client",
         "_metrics",
         "_spawn",
         "_wake",
         "_log",
-        "_books",
+        "_tracked",
     )
 
     def __init__(
@@ -130,117 +136,120 @@
         spawn: Spawn,
         wake: Callable[[], None],
     ):
-        """Sets the books up.
+        """Initializes the tracker.
 
         Args:
-          state: Which engines there are.
-          client: Asks them.
-          metrics: Where refused orders are counted.
-          spawn: Runs a question in the background.
+          state: The known engines.
+          client: Requests their reports.
+          metrics: Counts refused orders.
+          spawn: Runs a report request in the background.
           wake: Called when an engine has reported.
         """
-        self.engine_came_s = 0.0
+        self.last_engine_added_s = 0.0
         self._state = state
         self._client = client
         self._metrics = metrics
         self._spawn = spawn
         self._wake = wake
         self._log = logs.part("orders")
-        self._books: dict[str, TrackedEngine] = {}
+        self._tracked: dict[str, TrackedEngine] = {}
 
     def __getitem__(self, instance_id: str) -> TrackedEngine:
-        return self._books[instance_id]
+        return self._tracked[instance_id]
 
     def __contains__(self, instance_id: str) -> bool:
-        return instance_id in self._books
+        return instance_id in self._tracked
 
     def items(self) -> Iterable[tuple[str, TrackedEngine]]:
-        """Returns the books by the engine's instance id."""
-        return self._books.items()
+        """Returns the tracked engines by instance id."""
+        return self._tracked.items()
 
     def clear(self) -> None:
-        """Forgets everything: another instance gives orders from now on."""
-        self._books.clear()
+        """Discards all state: another instance gives orders from now on."""
+        self._tracked.clear()
 
-    def follow(self, engines: Iterable[serving.Upstream], now_s: float) -> None:
-        """Takes in the entries of all engines that there are."""
+    def update_engines(
+        self, engines: Iterable[serving.Upstream], now_s: float
+    ) -> None:
+        """Updates the tracked engines from the entries of all known engines."""
         seen = set()
         for entry in engines:
             seen.add(entry.instance_id)
-            book = self._books.get(entry.instance_id)
-            if book is None or book.inventory.born_ms != entry.born_ms:
-                book = TrackedEngine(
+            tracked = self._tracked.get(entry.instance_id)
+            if tracked is None or tracked.inventory.born_ms != entry.born_ms:
+                tracked = TrackedEngine(
                     engine_inventory.EngineInventory(
                         entry.instance_id, entry.born_ms
                     )
                 )
-                self.engine_came_s = now_s
-                self._books[entry.instance_id] = book
-            book.inventory.apply_entry(entry)
-        for instance_id in set(self._books) - seen:
-            del self._books[instance_id]
-
-    def advance(self, now_s: float) -> None:
-        """Takes adapters whose time is over for arrived."""
-        for book in self._books.values():
-            book.inventory.complete_due_adapters(now_s)
-
-    # -- questions -----------------------------------------------------
-
-    def ask(self, now_s: float) -> None:
-        """Asks engines of which something is not known or overdue."""
-        for instance_id, book in self._books.items():
-            if book.is_calling or now_s < book.ask_s:
+                self.last_engine_added_s = now_s
+                self._tracked[entry.instance_id] = tracked
+            tracked.inventory.apply_entry(entry)
+        for instance_id in set(self._tracked) - seen:
+            del self._tracked[instance_id]
+
+    def apply_expected_loads(self, now_s: float) -> None:
+        """Marks adapters whose load time has passed as loaded."""
+        for tracked in self._tracked.values():
+            tracked.inventory.complete_due_adapters(now_s)
+
+    # -- reports -------------------------------------------------------
+
+    def request_reports(self, now_s: float) -> None:
+        """Requests reports from engines with uncertain or overdue state."""
+        for instance_id, tracked in self._tracked.items():
+            if tracked.has_open_call or now_s < tracked.not_before_s:
                 continue
-            is_in_doubt = book.is_in_doubt(now_s)
-            departs = (
-                book.inventory.departing_adapters() and now_s >= book.look_s
+            needs_report = tracked.needs_report(now_s)
+            has_departing = (
+                tracked.inventory.departing_adapters()
+                and now_s >= tracked.next_unload_check_s
             )
-            if not is_in_doubt and not departs:
+            if not needs_report and not has_departing:
                 continue
             known = self._state.directory.get(instance_id)
             if known is not None and not known.is_down(now_s):
-                book.look_s = now_s + DEPARTING_S
-                if is_in_doubt:
-                    book.ask_s = now_s + ASK_AGAIN_S
-                self._spawn(self._report(book, known))
+                tracked.next_unload_check_s = now_s + UNLOAD_CHECK_INTERVAL_S
+                if needs_report:
+                    tracked.not_before_s = now_s + REQUERY_DELAY_S
+                self._spawn(self._request_report(tracked, known))
 
-    async def _report(
-        self, book: TrackedEngine, known: directory_lib.KnownUpstream
+    async def _request_report(
+        self, tracked: TrackedEngine, known: directory_lib.KnownUpstream
     ) -> None:
         loop = asyncio.get_running_loop()
-        book.is_calling = True
-        asked_s = loop.time()
+        tracked.has_open_call = True
+        requested_s = loop.time()
         try:
             report = await self._client.report(known.entry)
         finally:
-            book.is_calling = False
+            tracked.has_open_call = False
         if report is None:
-            book.ask_s = loop.time() + 2 * ASK_AGAIN_S
+            tracked.not_before_s = loop.time() + 2 * REQUERY_DELAY_S
             return
-        before = book.inventory.orders
-        was_heard = book.inventory.has_reported
-        book.inventory.apply_report(report, asked_s, loop.time())
-        if book.conflicts:
-            self._note_conflicts(book, before, report)
-        if was_heard and book.inventory.orders != before:
+        before = tracked.inventory.orders
+        had_reported = tracked.inventory.has_reported
+        tracked.inventory.apply_report(report, requested_s, loop.time())
+        if tracked.conflicts:
+            self._record_conflicts(tracked, before, report)
+        if had_reported and tracked.inventory.orders != before:
             self._log.info(
                 "books corrected",
-                upstream=book.inventory.instance_id,
+                upstream=tracked.inventory.instance_id,
                 books=before,
                 engine=report.orders,
             )
-        book.conflicts = 0
+        tracked.conflicts = 0
         self._wake()
 
-    def _note_conflicts(
-        self, book: TrackedEngine, before: int, report: serving.EngineReport
+    def _record_conflicts(
+        self, tracked: TrackedEngine, before: int, report: serving.EngineReport
     ) -> None:
         cause = conflict_cause(before, report)
         self._log.warning(
             "refused in a row",
-            upstream=book.inventory.instance_id,
-            conflicts=book.conflicts,
+            upstream=tracked.inventory.instance_id,
+            conflicts=tracked.conflicts,
             why=cause.value,
             books=before,
             engine=report.orders,
@@ -249,57 +258,59 @@
             "sesamecross_order_conflicts_total",
             "Orders that engines refused, by what a report then said.",
             {"why": cause.value},
-            book.conflicts,
+            tracked.conflicts,
         )
 
     # -- answers -------------------------------------------------------
 
-    def note_answer(
+    def on_order_answer(
         self,
-        book: TrackedEngine,
+        tracked: TrackedEngine,
         step: placement_types.Step,
         answer: serving.OrderAnswer,
         sent_s: float,
         now_s: float,
     ) -> None:
-        """Takes in what an engine said of an order.
+        """Applies an engine's answer to an order.
 
         Args:
-          book: The engine's.
-          step: What was ordered.
-          answer: What it said.
+          tracked: The engine.
+          step: The step that was ordered.
+          answer: The engine's answer.
           sent_s: When the order was sent.
           now_s: Monotonic time.
         """
-        inventory = book.inventory
+        inventory = tracked.inventory
         loads = step.kind is placement_types.StepKind.LOAD
         match answer:
             case serving.OrderAnswer.ACCEPTED:
-                book.conflicts = 0
+                tracked.conflicts = 0
                 inventory.order_accepted(
                     loads, step.target, sent_s + step.takes_s, now_s
                 )
                 if not loads:
-                    book.ask_s = now_s + UNLOAD_S
-                    book.look_s = now_s + DEPARTING_S
+                    tracked.not_before_s = now_s + UNLOAD_SETTLE_S
+                    tracked.next_unload_check_s = (
+                        now_s + UNLOAD_CHECK_INTERVAL_S
+                    )
             case serving.OrderAnswer.ALREADY_DONE:
-                book.conflicts = 0
+                tracked.conflicts = 0
                 inventory.order_already_done(loads, step.target, now_s)
                 if not inventory.is_fully_known:
-                    # What was made before the answer settles nothing.
-                    book.ask_s = now_s + engine_inventory.REPORT_LAG_S
+                    # A report made before the answer settles nothing.
+                    tracked.not_before_s = now_s + engine_inventory.REPORT_LAG_S
             case serving.OrderAnswer.CONFLICT:
-                # Another order is under way there, or one without an answer
-                # was carried out after all.
-                book.conflicts += 1
-                book.ask_s = now_s + ASK_AGAIN_S / 2
+                # Another order is under way there, or an order without an
+                # answer was executed after all.
+                tracked.conflicts += 1
+                tracked.not_before_s = now_s + REQUERY_DELAY_S / 2
             case serving.OrderAnswer.OTHER_INCARNATION:
                 self._state.directory.replaced(step.instance_id)
             case serving.OrderAnswer.UNKNOWN:
-                # It may be carried out at any time. Until then the books are
-                # right, and whatever is sent next bears the same number, so
-                # that only one of the two can count.
+                # The engine may execute it at any time. Until then the tracked
+                # state is correct, and the next order carries the same number,
+                # so that only one of the two can take effect.
                 inventory.order_unanswered(step.target)
             case _:
                 inventory.is_fully_known = False
-                book.ask_s = now_s + ASK_AGAIN_S
+                tracked.not_before_s = now_s + REQUERY_DELAY_S
--- a/sesamecross/gateway/placement_controller.py
+++ b/sesamecross/gateway/placement_controller.py
@@ -1,9 +1,9 @@
-"""Gives orders to engines while this instance holds the lease.
+"""Plans placements and gives orders to engines while the lease is held.
 
-Why: the planner decides from books that have to be kept: what each engine
-holds, which order it has not answered, when a load is due. Everything here is
-forgotten when the lease is lost, and learned anew from the engines when it is
-taken: nothing has to be handed over.
+The planner needs state that spans ticks: what each engine holds, which order
+has no answer yet, when a load is due. All of it is discarded when the lease is
+lost and learned from the engines again when it is acquired, so nothing is
+handed over between holders.
 """
 
 import asyncio
@@ -27,40 +27,44 @@
 from sesamecross.runtime import logs
 from sesamecross.runtime import metrics as metrics_lib
 
-TICK_S = 0.05
-# Answers and wants wake it by the hundred a second. After each look at all
-# engines it rests for this many times as long.
-TICK_RESTS = 4.0
-# Planning looks at all engines and models; between two looks only what
-# somebody waits for is new.
-PLAN_S = 0.1
-# After a plan, until the next one: this many times what it took.
-PLAN_RESTS = 4.0
-# The target is looked at anew this often: a plan of 6 engines and 20 models
-# takes some milliseconds, and what it rests on changes no faster.
-TARGET_S = 0.15
-# And no sooner than after this many times what the last look took: at 56
-# engines and 135 models one takes 25 to 50 ms of a whole core, and the one who
-# plans has half of one and callers to serve.
-TARGET_RESTS = 5.0
-# A want is repeated while the request waits; without that it lapses.
-WANT_S = 0.6
-# All requests of an instance that wait for the same say so this often together.
-WANT_AGAIN_S = 0.25
-# After it began to give orders, and after the first requests, until all
-# instances' demand has arrived by way of their hubs. What requests wait for is
-# told sooner than what they find: a busy model would be unloaded for it.
-DEMAND_S = 0.7
-# After an engine came, until others that start with it have come as well: they
-# register within some seconds of each other.
-ENGINES_S = 4.0
-# A withdrawn model serves again if it was not unloaded by then: its requests
-# last longer than its room is worth waiting for.
-WITHDRAWN_S = 8.0
+TICK_INTERVAL_S = 0.05
+# Order answers and placement requests wake the controller hundreds of times a
+# second. After each scan of all engines it rests for this many times the scan's
+# duration.
+TICK_REST_RATIO = 4.0
+# Planning scans all engines and models; between two plans only requests that
+# wait add something new.
+PLAN_INTERVAL_S = 0.1
+# Rest after a plan, in multiples of the plan's duration.
+PLAN_REST_RATIO = 4.0
+# How often the target is recomputed: for 6 engines and 20 models that takes
+# some milliseconds, and its inputs change no faster.
+TARGET_INTERVAL_S = 0.15
+# Minimum rest between computations of the target, in multiples of the last
+# one's duration. For 56 engines and 135 models one takes 25 to 50 ms of a core;
+# the instance has half a core and callers to serve.
+TARGET_REST_RATIO = 5.0
+# A placement request is repeated while a request waits, and expires without
+# that.
+PLACEMENT_REQUEST_TTL_S = 0.6
+# How often an instance repeats the placement request for the same target, on
+# behalf of all its requests that wait for it.
+PLACEMENT_REQUEST_INTERVAL_S = 0.25
+# How long after acquiring the lease, and after the first requests, until every
+# instance's demand has arrived through the hubs. Demand that waits is
+# reported sooner than models in use, so an earlier plan could unload a busy
+# model for one that is waited for.
+DEMAND_SETTLE_S = 0.7
+# How long after an engine appeared until others that start with it have
+# appeared too: they register within some seconds of each other.
+ENGINES_SETTLE_S = 4.0
+# A withdrawn model that was not unloaded by then serves again: its requests
+# last longer than its memory is worth waiting for.
+WITHDRAWAL_TTL_S = 8.0
 
 
 class PlacementController:
-    """Component that plans and orders."""
+    """Component that plans placements and gives orders."""
 
     is_vital = False
     name = "orders"
@@ -79,53 +83,57 @@
         self._client = client
         self._metrics = metrics
         self._log = logs.part("orders")
-        self._books = engine_tracker.EngineTracker(
+        self._tracker = engine_tracker.EngineTracker(
             state,
             client,
             metrics,
             lambda work: self._spawn(work),
             lambda: self._wake.set(),
         )
-        self._wants: dict[tuple[str, str, str], float] = {}
-        self._teller = placement_publisher.PlacementPublisher(state, mesh)
-        self._memory = demand_history.DemandHistory()
+        self._placement_requests: dict[tuple[str, str, str], float] = {}
+        self._publisher = placement_publisher.PlacementPublisher(state, mesh)
+        self._demand_history = demand_history.DemandHistory()
         self._budgets: dict[str, load_budget.LoadBudget] = {}
         self._withdrawn: dict[tuple[str, str], float] = {}
         self._targets: dict[str, placement_types.PlacementTarget] = {}
-        # When models that wait for room are expected, by engine and model.
-        self._planned: dict[str, dict[str, float]] = {}
-        # When the target is looked at next, by service.
-        self._aim_s: dict[str, float] = {}
-        # The configuration with which a service's plan failed.
+        # When models that wait for memory are expected, by engine and model.
+        self._expected_loads: dict[str, dict[str, float]] = {}
+        # When the target is recomputed next, by service.
+        self._next_target_s: dict[str, float] = {}
+        # The configuration version with which a service's plan failed.
         self._failed_plans: dict[str, int] = {}
         self._is_active = False
-        self._planned_s = 0.0
-        self._ticking = duty_cycle.DutyCycle(TICK_RESTS)
-        self._planning = duty_cycle.DutyCycle(PLAN_RESTS)
-        self._said = duty_cycle.Cooldown(WANT_AGAIN_S)
-        self._begun_s = 0.0
-        self._calls: set[asyncio.Task] = set()
+        self._last_plan_s = 0.0
+        self._tick_pace = duty_cycle.DutyCycle(TICK_REST_RATIO)
+        self._plan_pace = duty_cycle.DutyCycle(PLAN_REST_RATIO)
+        self._request_cooldown = duty_cycle.Cooldown(
+            PLACEMENT_REQUEST_INTERVAL_S
+        )
+        self._active_since_s = 0.0
+        self._tasks: set[asyncio.Task] = set()
         self._wake = asyncio.Event()
         mesh.add_listener(self._on_message)
 
     async def run(self) -> None:
-        """Works while the lease is held, for ever."""
+        """Runs the controller while the lease is held."""
         loop = asyncio.get_running_loop()
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(TICK_S):
+                async with asyncio.timeout(TICK_INTERVAL_S):
                     await self._wake.wait()
-            await asyncio.sleep(max(0.0, self._ticking.free_s - loop.time()))
+            await asyncio.sleep(max(0.0, self._tick_pace.free_s - loop.time()))
             self._wake.clear()
-            begun_s = loop.time()
-            planned_s = self._tick(begun_s)
-            ended_s = loop.time()
-            self._ticking.done(begun_s, ended_s - planned_s)
-            self._note_work(planned_s, ended_s - begun_s - planned_s)
-
-    def _note_work(self, planned_s: float, looked_s: float) -> None:
-        """Counts the time that orders take from the instance's callers."""
-        for work, took_s in (("plan", planned_s), ("look", looked_s)):
+            started_s = loop.time()
+            plan_time_s = self._tick(started_s)
+            finished_s = loop.time()
+            self._tick_pace.done(started_s, finished_s - plan_time_s)
+            self._record_work_time(
+                plan_time_s, finished_s - started_s - plan_time_s
+            )
+
+    def _record_work_time(self, plan_time_s: float, scan_time_s: float) -> None:
+        """Records the time that orders take away from serving callers."""
+        for work, took_s in (("plan", plan_time_s), ("look", scan_time_s)):
             if took_s > 0:
                 self._metrics.observe(
                     "sesamecross_orders_work_seconds",
@@ -135,25 +143,27 @@
                 )
 
     async def stop(self) -> None:
-        """Orders under way are left to themselves."""
-        for task in self._calls:
+        """Cancels calls; orders in flight may still be executed."""
+        for task in self._tasks:
             task.cancel()
 
-    # -- wants ---------------------------------------------------------
+    # -- placement requests --------------------------------------------
 
     def want(self, service: str, target: str, upstream: str) -> None:
-        """A request of this instance waits for a target."""
+        """Notes that a request of this instance waits for a target."""
         lease = self._mesh.lease
         now_s = asyncio.get_running_loop().time()
         if self._lease.holds:
-            if self._said.is_due(("", service, target, upstream), now_s):
-                self._note_want(service, target, upstream)
+            if self._request_cooldown.is_due(
+                ("", service, target, upstream), now_s
+            ):
+                self._add_placement_request(service, target, upstream)
         elif lease is not None and self._mesh.roster is not None:
             holder = self._mesh.roster.get(lease.holder)
             if holder is None or self._mesh.transport is None:
                 return
-            what = (lease.holder, service, target, upstream)
-            if self._said.is_due(what, now_s):
+            repeat_key = (lease.holder, service, target, upstream)
+            if self._request_cooldown.is_due(repeat_key, now_s):
                 number = self._mesh.next_number()
                 self._mesh.send(
                     fm.PlacementRequest(
@@ -166,44 +176,48 @@
         match message:
             case fm.PlacementRequest(me=me, service=service, target=target):
                 if self._lease.holds:
-                    self._teller.waits(target, me.name)
-                    self._note_want(service, target, message.upstream)
+                    self._publisher.add_waiter(target, me.name)
+                    self._add_placement_request(
+                        service, target, message.upstream
+                    )
             case fm.Placement():
-                self._teller.take(message)
+                self._publisher.apply(message)
 
-    def _note_want(self, service: str, target: str, upstream: str) -> None:
+    def _add_placement_request(
+        self, service: str, target: str, upstream: str
+    ) -> None:
         now_s = asyncio.get_running_loop().time()
-        self._wants[(service, target, upstream)] = now_s
-        self._planned_s = 0.0
+        self._placement_requests[(service, target, upstream)] = now_s
+        self._last_plan_s = 0.0
         self._wake.set()
 
-    def _tell(self, now_s: float) -> None:
-        """Tells what engines hold, of those that have reported.
+    def _publish_placements(self, now_s: float) -> None:
+        """Publishes what engines hold, for those that have reported.
 
-        The books on the others are empty. All instances believe what is told
+        Nothing is known of the others. Instances trust a published placement
         more than an engine's own entry, and would refuse requests for models
-        that it lists. Of an engine that nothing is told of, its entry counts,
-        or what was told before this instance took the lease.
+        that it lists. For an engine without a published placement its entry
+        counts, or what was published before this instance acquired the lease.
         """
         withdrawn: dict[str, set[str]] = {}
         for instance_id, model in self._withdrawn:
             withdrawn.setdefault(instance_id, set()).add(model)
-        places = [
-            placement_publisher.engine_place(
-                book.inventory,
+        placements = [
+            placement_publisher.engine_placement(
+                tracked.inventory,
                 withdrawn.get(instance_id, set()),
-                self._planned.get(instance_id, {}),
+                self._expected_loads.get(instance_id, {}),
                 now_s,
             )
-            for instance_id, book in self._books.items()
-            if book.inventory.has_reported
+            for instance_id, tracked in self._tracker.items()
+            if tracked.inventory.has_reported
         ]
-        self._teller.tell(places, self._lease.fence, now_s)
+        self._publisher.publish(placements, self._lease.fence, now_s)
 
-    # -- the work ------------------------------------------------------
+    # -- control loop --------------------------------------------------
 
     def _tick(self, now_s: float) -> float:
-        """Does what is due; returns how much of the time went into a plan."""
+        """Does the work that is due; returns the time spent planning."""
         if not self._lease.may_order:
             if self._is_active:
                 self._deactivate()
@@ -211,33 +225,33 @@
         if not self._is_active:
             self._log.info("begins", fence=self._lease.fence)
             self._is_active = True
-            self._begun_s = now_s
-        self._books.follow(self._engines(), now_s)
-        self._books.ask(now_s)
-        self._books.advance(now_s)
-        planned_s = 0.0
-        is_due = now_s - self._planned_s >= PLAN_S
-        if is_due and self._planning.may_begin(now_s):
-            self._planned_s = now_s
-            begun_s = asyncio.get_running_loop().time()
+            self._active_since_s = now_s
+        self._tracker.update_engines(self._engines(), now_s)
+        self._tracker.request_reports(now_s)
+        self._tracker.apply_expected_loads(now_s)
+        plan_time_s = 0.0
+        is_due = now_s - self._last_plan_s >= PLAN_INTERVAL_S
+        if is_due and self._plan_pace.may_begin(now_s):
+            self._last_plan_s = now_s
+            started_s = asyncio.get_running_loop().time()
             self._plan(now_s)
-            ended_s = asyncio.get_running_loop().time()
-            self._planning.done(begun_s, ended_s)
-            planned_s = ended_s - begun_s
-        self._tell(now_s)
-        return planned_s
+            finished_s = asyncio.get_running_loop().time()
+            self._plan_pace.done(started_s, finished_s)
+            plan_time_s = finished_s - started_s
+        self._publish_placements(now_s)
+        return plan_time_s
 
     def _deactivate(self) -> None:
         self._log.info("ends")
         self._is_active = False
-        self._books.clear()
+        self._tracker.clear()
         self._budgets.clear()
-        self._wants.clear()
+        self._placement_requests.clear()
         self._withdrawn.clear()
         self._targets.clear()
-        self._planned.clear()
-        self._aim_s.clear()
-        self._teller.forget()
+        self._expected_loads.clear()
+        self._next_target_s.clear()
+        self._publisher.clear()
 
     def _engine_spec(self, service: str) -> serving.EngineSpec | None:
         configuration = self._state.configuration
@@ -256,45 +270,45 @@
 
     def _spawn(self, work) -> None:
         task = asyncio.create_task(work)
-        self._calls.add(task)
-        task.add_done_callback(self._calls.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     # -- planning ------------------------------------------------------
 
     def _plan(self, now_s: float) -> None:
         by_service: dict[str, list[placement_types.Engine]] = {}
-        for instance_id, book in self._books.items():
+        for instance_id, tracked in self._tracker.items():
             known = self._state.directory.get(instance_id)
             if known is None:
                 continue
             by_service.setdefault(known.entry.service, []).append(
                 placement_types.Engine(
-                    book.inventory,
-                    book.is_free(now_s),
+                    tracked.inventory,
+                    tracked.can_take_order(now_s),
                     known.is_leaving or known.is_down(now_s),
                 )
             )
-        self._wants = {
+        self._placement_requests = {
             key: at_s
-            for key, at_s in self._wants.items()
-            if now_s - at_s < WANT_S
+            for key, at_s in self._placement_requests.items()
+            if now_s - at_s < PLACEMENT_REQUEST_TTL_S
         }
         for service, engines in by_service.items():
             try:
                 self._plan_service(service, tuple(engines), now_s)
             except Exception:
-                self._note_failed_plan(service)
+                self._log_failed_plan(service)
 
-    def _note_failed_plan(self, service: str) -> None:
-        """Tells of a plan that failed, once for each configuration.
+    def _log_failed_plan(self, service: str) -> None:
+        """Logs a failed plan once for each version of the configuration.
 
-        It fails again at each try until operators declare something else. If
-        it went further, no service would get orders any more, here and at
-        each instance that takes over.
+        The plan fails on each attempt until operators change the declarations.
+        If the exception went further, no service would get orders any more,
+        neither here nor on any instance that takes over.
         """
         if self._failed_plans.get(service) != self._state.version:
             self._failed_plans[service] = self._state.version
-            self._log.exception("a service can't be planned", service=service)
+            self._log.exception("planning failed", service=service)
 
     def _plan_service(
         self,
@@ -304,14 +318,16 @@
     ) -> None:
         spec = self._engine_spec(service)
         budget = self._budget(service, spec, now_s)
-        at_once = max(1, round(spec.store_loads_per_s * _mean_load_s(spec)))
-        loading = sum(
+        max_parallel_loads = max(
+            1, round(spec.store_loads_per_s * _mean_load_s(spec))
+        )
+        active_loads = sum(
             1
             for engine in engines
             for target, at_s in engine.inventory.arriving.items()
-            if "/" not in target and target in self._memory.from_store
+            if "/" not in target and target in self._demand_history.from_store
         )
-        demand = self._memory.demand(
+        demand = self._demand_history.demand(
             service,
             spec,
             self._state.fleet_demand,
@@ -321,52 +337,58 @@
                 for engine in engines
                 for name in engine.inventory.all_models()
             },
-            self._wants,
+            self._placement_requests,
             now_s,
         )
         demand_age_s = min(
-            now_s - self._begun_s, self._memory.demand_age_s(now_s)
+            now_s - self._active_since_s,
+            self._demand_history.demand_age_s(now_s),
         )
         inputs = placement_types.Inputs(
             spec,
             engines,
             demand,
             self._state.fleet_uses,
-            self._withdrawals(now_s),
+            self._active_withdrawals(now_s),
             self._targets.get(service, {}),
             tuple(
                 placement_types.AdapterWant(upstream, target)
-                for (of, target, upstream) in self._wants
+                for (of, target, upstream) in self._placement_requests
                 if of == service and upstream and "/" in target
             ),
             store_loads=(
-                max(0, at_once - loading) if budget.allows(now_s) else 0
+                max(0, max_parallel_loads - active_loads)
+                if budget.allows(now_s)
+                else 0
             ),
-            is_demand_known=demand_age_s >= DEMAND_S,
-            are_engines_known=now_s - self._books.engine_came_s >= ENGINES_S,
+            is_demand_known=demand_age_s >= DEMAND_SETTLE_S,
+            are_engines_known=now_s - self._tracker.last_engine_added_s
+            >= ENGINES_SETTLE_S,
             now_s=now_s,
-            used_s=self._memory.last_used(self._state.fleet_uses, now_s),
+            used_s=self._demand_history.last_used(
+                self._state.fleet_uses, now_s
+            ),
         )
         target = self._target(service, inputs)
         steps = placement_steps.steps(inputs, target)
-        self._serve_again(service, steps)
+        self._end_withdrawals(service, steps)
         for step in steps:
             if step.kind is placement_types.StepKind.WITHDRAW:
                 self._withdraw(step, now_s)
             elif not step.from_store or budget.allows(now_s):
-                self._give(service, step, budget, now_s)
+                self._start_order(service, step, budget, now_s)
 
     def _target(
         self, service: str, inputs: placement_types.Inputs
     ) -> placement_types.PlacementTarget:
-        """Returns what engines should hold; looks at it anew now and then."""
+        """Returns what engines should hold; recomputes it periodically."""
         now_s = inputs.now_s
-        if now_s < self._aim_s.get(service, 0.0):
+        if now_s < self._next_target_s.get(service, 0.0):
             return self._targets[service]
         if inputs.is_demand_known:
             target = placement_target.plan_target(inputs)
         else:
-            # What models are worth is not known: only free room is filled.
+            # The demand for models is unknown: only free memory is filled.
             target = placement_target.fill_free_room(inputs)
         if self._targets.get(service) != target:
             self._log_target(service, inputs, target)
@@ -374,11 +396,13 @@
         for name, waits in placement_swaps.ready_times_s(
             inputs, target
         ).items():
-            self._planned[name] = {
+            self._expected_loads[name] = {
                 model: now_s + wait_s for model, wait_s in waits.items()
             }
         took_s = asyncio.get_running_loop().time() - now_s
-        self._aim_s[service] = now_s + max(TARGET_S, took_s * TARGET_RESTS)
+        self._next_target_s[service] = now_s + max(
+            TARGET_INTERVAL_S, took_s * TARGET_REST_RATIO
+        )
         return target
 
     def _log_target(
@@ -392,13 +416,13 @@
             service=service,
             engines={name: sorted(models) for name, models in target.items()},
             asked={
-                name: f"{one.rate:.1f}/s load {one.load:.2f}"
-                for name, one in sorted(inputs.demand.items())
-                if one.is_in_demand
+                name: f"{demand.rate:.1f}/s load {demand.load:.2f}"
+                for name, demand in sorted(inputs.demand.items())
+                if demand.is_in_demand
             },
         )
 
-    def _serve_again(
+    def _end_withdrawals(
         self, service: str, steps: list[placement_types.Step]
     ) -> None:
         """Ends the withdrawals of a service that its plan does not repeat."""
@@ -407,15 +431,15 @@
             known = self._state.directory.get(instance_id)
             if known is None or known.entry.service != service:
                 continue
-            # An unload may be on its way.
-            if not self._books[instance_id].is_calling:
+            # An unload may be in flight.
+            if not self._tracker[instance_id].has_open_call:
                 del self._withdrawn[key]
                 self._log.info(
                     "serves again", upstream=instance_id, target=target
                 )
 
     def _withdraw(self, step: placement_types.Step, now_s: float) -> None:
-        """Instances are told to send no new requests for a model there."""
+        """Stops new requests for a model on an engine."""
         key = (step.instance_id, step.target)
         if key in self._withdrawn:
             return
@@ -427,14 +451,14 @@
             why=step.reason,
         )
 
-    def _withdrawals(self, now_s: float) -> dict[tuple[str, str], float]:
-        """Returns what is withdrawn; forgets what was not followed up."""
+    def _active_withdrawals(self, now_s: float) -> dict[tuple[str, str], float]:
+        """Returns the withdrawals in force; drops those not followed up."""
         self._withdrawn = {
             (instance_id, name): at_s
             for (instance_id, name), at_s in self._withdrawn.items()
-            if now_s - at_s < WITHDRAWN_S
-            and instance_id in self._books
-            and name in self._books[instance_id].inventory.models
+            if now_s - at_s < WITHDRAWAL_TTL_S
+            and instance_id in self._tracker
+            and name in self._tracker[instance_id].inventory.models
         }
         return self._withdrawn
 
@@ -442,29 +466,29 @@
         self, service: str, spec: serving.EngineSpec, now_s: float
     ) -> load_budget.LoadBudget:
         bounds = self._state.bounds
-        figures = (
+        limits = (
             spec.store_loads_per_s,
             bounds.loads_window_s,
             bounds.loads_overage,
         )
         budget = self._budgets.get(service)
         if budget is None:
-            budget = load_budget.LoadBudget(*figures, now_s)
+            budget = load_budget.LoadBudget(*limits, now_s)
             self._budgets[service] = budget
         # Settings and configurations change while the lease is held.
-        budget.set_limits(*figures)
+        budget.set_limits(*limits)
         return budget
 
-    def _give(
+    def _start_order(
         self,
         service: str,
         step: placement_types.Step,
         budget: load_budget.LoadBudget,
         now_s: float,
     ) -> None:
-        book = self._books[step.instance_id]
+        tracked = self._tracker[step.instance_id]
         known = self._state.directory.get(step.instance_id)
-        if known is None or book.is_calling:
+        if known is None or tracked.has_open_call:
             return
         model, _, adapter = step.target.partition("/")
         order = serving.EngineOrder(
@@ -473,21 +497,21 @@
             step.kind is placement_types.StepKind.LOAD,
             model,
             adapter,
-            book.inventory.orders,
+            tracked.inventory.orders,
             self._mesh.roster.me.name,
             self._lease.fence,
         )
         if step.from_store:
             budget.load_started(now_s)
-            self._memory.from_store.add(step.target)
+            self._demand_history.from_store.add(step.target)
         elif "/" not in step.target:
-            self._memory.from_store.discard(step.target)
-        book.is_calling = True
-        self._spawn(self._order(book, step, order, budget))
+            self._demand_history.from_store.discard(step.target)
+        tracked.has_open_call = True
+        self._spawn(self._send_order(tracked, step, order, budget))
 
-    async def _order(
+    async def _send_order(
         self,
-        book: engine_tracker.TrackedEngine,
+        tracked: engine_tracker.TrackedEngine,
         step: placement_types.Step,
         order: serving.EngineOrder,
         budget: load_budget.LoadBudget,
@@ -496,15 +520,15 @@
         sent_s = loop.time()
         answer = serving.OrderAnswer.UNKNOWN
         try:
-            # The lease is looked at again at the very last moment: this
-            # process may have slept since the plan was made.
+            # The lease is checked again right before sending: this process may
+            # have been suspended since the plan was made.
             if not self._lease.may_order:
                 return
             answer = await self._client.order(order)
         finally:
-            book.is_calling = False
+            tracked.has_open_call = False
         now_s = loop.time()
-        self._books.note_answer(book, step, answer, sent_s, now_s)
+        self._tracker.on_order_answer(tracked, step, answer, sent_s, now_s)
         if step.from_store and answer is serving.OrderAnswer.UNKNOWN:
             budget.load_unanswered(now_s)
         self._log.info(
@@ -519,7 +543,7 @@
             answer=answer.value,
             ms=round((now_s - sent_s) * 1000),
         )
-        self._planned_s = 0.0
+        self._last_plan_s = 0.0
         self._wake.set()
 
 
--- a/sesamecross/gateway/placement_controller_engine_exit_test.py
+++ b/sesamecross/gateway/placement_controller_engine_exit_test.py
@@ -1,4 +1,4 @@
-"""Tests of the giver of orders while engines come to their end."""
+"""Tests of the placement controller while engines leave or fail."""
 
 import asyncio
 import dataclasses
@@ -34,7 +34,7 @@
 
 
 class _Lease:
-    """Is held for ever."""
+    """A lease that is always held."""
 
     may_order = True
     holds = True
@@ -42,27 +42,27 @@
 
 
 class _Mesh:
-    """Nobody else is there."""
+    """A mesh without other instances."""
 
     me = None
     roster = None
     lease = None
 
     def __init__(self) -> None:
-        self.told: list[object] = []
+        self.published: list[object] = []
 
     def add_listener(self, listener) -> None:
-        """Nothing is heard."""
+        """Does nothing: no message arrives."""
 
     def next_number(self) -> int:
         return 1
 
     def broadcast(self, message) -> None:
-        self.told.append(message)
+        self.published.append(message)
 
 
-class _Engines:
-    """Each engine reports the one model."""
+class _EngineClient:
+    """Engines that each report the one model."""
 
     async def report(self, entry) -> serving.EngineReport:
         return serving.EngineReport(
@@ -107,48 +107,47 @@
 
 @pytest.mark.parametrize("ends", [leaves, lapses, falls_silent, refuses])
 @pytest.mark.parametrize("later_s", [0.12, 0.2])
-def test_planning_goes_on_when_an_engine_ends(ends, later_s):
-    """An engine leaves, and whoever gives orders fails.
-
-    What engines should hold is looked at anew every 0.15 s, the next steps
-    are planned every 0.1 s. A plan in between found an engine in the target
-    that was not among those in use any more, and failed. The part that gives
-    orders was started again after a pause, each longer than the last, and
-    requests for models were refused meanwhile. The logs of processes showed
-    it four times in one run of upstreams that leave, each with a KeyError.
+def test_planning_continues_when_an_engine_is_gone(ends, later_s):
+    """Guards against a plan that fails after an engine is gone.
+
+    The target is recomputed every 0.15 s and the next steps every 0.1 s. A plan
+    in between found an engine in the target that was no longer in use, and
+    raised a KeyError; this was seen four times in one run with leaving
+    upstreams. The controller was restarted with growing backoff, and requests
+    for models were refused meanwhile.
     """
     state = state_lib.State(samples.INSTANCE)
     state.offer_configuration(CONFIGURATION)
     mesh = _Mesh()
-    desk = placement_controller.PlacementController(
-        state, mesh, _Lease(), _Engines(), metrics_lib.Metrics()
+    controller = placement_controller.PlacementController(
+        state, mesh, _Lease(), _EngineClient(), metrics_lib.Metrics()
     )
     loop = asyncio.new_event_loop()
     now = [100.0]
     loop.time = lambda: now[0]
 
-    async def play() -> None:
+    async def scenario() -> None:
         for name in ("e1", "e2"):
             state.directory.update_entry(entry(name), now[0])
-        desk._tick(now[0])
+        controller._tick(now[0])
         for _ in range(3):
             # The reports arrive.
             await asyncio.sleep(0)
         ends(state.directory, now[0])
-        mesh.told.clear()
+        mesh.published.clear()
         now[0] += later_s
-        desk._tick(now[0])
-        await desk.stop()
+        controller._tick(now[0])
+        await controller.stop()
 
     try:
         with structlog.testing.capture_logs() as lines:
-            loop.run_until_complete(play())
+            loop.run_until_complete(scenario())
     finally:
         loop.close()
     assert not [line for line in lines if line.get("exc_info")]
     held = {
         place.upstream: place.targets
-        for message in mesh.told
+        for message in mesh.published
         for place in message.engines
     }
     assert held["e2"] == [MODEL]
--- a/sesamecross/gateway/placement_controller_engine_state_test.py
+++ b/sesamecross/gateway/placement_controller_engine_state_test.py
@@ -1,4 +1,4 @@
-"""Tests of the giver of orders against an engine that does its worst."""
+"""Tests of the controller against an engine whose calls are lost or late."""
 
 from hypothesis import Phase
 from hypothesis import settings
@@ -6,173 +6,173 @@
 from hypothesis import strategies as st
 import pytest
 
-from sesamecross.fakes import placement_simulation as player_lib
+from sesamecross.fakes import placement_simulation as simulation_lib
 
-FATES = list(player_lib.Delivery)
-TARGETS = [*player_lib.MODELS, "m/a1", "m/a2", "m/a3", "n/a1", "n/a2"]
-# Until books that are wrong are put right, and the order that waits is given:
-# two answers to orders, a report's lag, an unload and a load.
-RECOVERS_S = 4.0
+DELIVERIES = list(simulation_lib.Delivery)
+TARGETS = [*simulation_lib.MODELS, "m/a1", "m/a2", "m/a3", "n/a1", "n/a2"]
+# Time to correct wrong tracked state and execute the pending order: two order
+# answers, a report's lag, an unload and a load.
+RECOVERY_S = 4.0
 
 
-@pytest.fixture(name="player")
-def fixture_player():
-    player = player_lib.Simulation()
-    yield player
-    player.close()
+@pytest.fixture(name="simulation")
+def fixture_simulation():
+    simulation = simulation_lib.Simulation()
+    yield simulation
+    simulation.close()
 
 
-def hold_adapters(player, *targets) -> None:
+def hold_adapters(simulation, *targets) -> None:
     """Lets requests wait for adapters until the engine holds them."""
     for target in targets:
-        player.wanted = {target}
-        player.run(1.0)
-        assert player.engine.answers(target)
-    player.wanted = set()
-
-
-def unload_one_in_use(player, seconds: float) -> None:
-    """Lets an adapter make way while a request uses it that nobody told of."""
-    hold_adapters(player, "m/a1", "m/a2")
-    player.run(2.0)
-    player.begin_use("m/a1", is_told=False)
-    player.wanted = {"m/a3"}
-    player.run(seconds)
-    assert player.engine.departing == {"m/a1"}
-
-
-def test_an_adapter_in_use_keeps_its_place_until_its_requests_end(player):
-    """Guards against loads into the place of an adapter that still departs."""
-    unload_one_in_use(player, 1.0)
-    assert not player.engine.is_overloaded
-    player.end_use("m/a1")
-    player.run(RECOVERS_S)
-    assert player.engine.answers("m/a3")
-
-
-def test_an_unload_that_changed_nothing_is_not_counted(player):
-    """Guards against books that run ahead of an engine for good."""
-    unload_one_in_use(player, 2.0)
-    player.change_holder()
-    player.run(3.0)
-    player.end_use("m/a1")
+        simulation.wanted = {target}
+        simulation.run(1.0)
+        assert simulation.engine.answers(target)
+    simulation.wanted = set()
+
+
+def unload_adapter_in_use(simulation, seconds: float) -> None:
+    """Unloads an adapter while an unreported request uses it."""
+    hold_adapters(simulation, "m/a1", "m/a2")
+    simulation.run(2.0)
+    simulation.begin_use("m/a1", is_told=False)
+    simulation.wanted = {"m/a3"}
+    simulation.run(seconds)
+    assert simulation.engine.departing == {"m/a1"}
+
+
+def test_an_adapter_in_use_keeps_its_place_until_its_requests_end(simulation):
+    """Guards against a load into the slot of an adapter being unloaded."""
+    unload_adapter_in_use(simulation, 1.0)
+    assert not simulation.engine.is_overloaded
+    simulation.end_use("m/a1")
+    simulation.run(RECOVERY_S)
+    assert simulation.engine.answers("m/a3")
+
+
+def test_an_unload_that_changed_nothing_is_not_counted(simulation):
+    """Guards against a tracked count that stays ahead of the engine's."""
+    unload_adapter_in_use(simulation, 2.0)
+    simulation.change_holder()
+    simulation.run(3.0)
+    simulation.end_use("m/a1")
     for target in ("m/a3", "m/a4", "m/a1"):
-        player.wanted = {target}
-        player.run(RECOVERS_S)
-        assert player.engine.answers(target)
+        simulation.wanted = {target}
+        simulation.run(RECOVERY_S)
+        assert simulation.engine.answers(target)
 
 
-def test_a_model_that_is_gone_already_is_not_counted_as_unloaded(player):
-    """Guards against counting an unload of a model that is not held."""
-    player.wanted = {"n"}
-    player.run(6.0)
-    assert player.engine.models == {"m", "n"}
-    player.engine.models.discard("m")
-    player.wanted = {"n", "o"}
-    player.run(RECOVERS_S)
-    assert player.engine.answers("o")
-    player.wanted = {"n", "o", "o/a1"}
-    player.run(RECOVERS_S)
-    assert player.engine.answers("o/a1")
+def test_a_model_that_is_gone_already_is_not_counted_as_unloaded(simulation):
+    """Guards against counting the unload of a model that is not held."""
+    simulation.wanted = {"n"}
+    simulation.run(6.0)
+    assert simulation.engine.models == {"m", "n"}
+    simulation.engine.models.discard("m")
+    simulation.wanted = {"n", "o"}
+    simulation.run(RECOVERY_S)
+    assert simulation.engine.answers("o")
+    simulation.wanted = {"n", "o", "o/a1"}
+    simulation.run(RECOVERY_S)
+    assert simulation.engine.answers("o/a1")
 
 
-def test_an_adapter_is_swapped_without_a_wait_for_a_report(player):
-    """Guards against a wait for each adapter that makes room for another."""
-    hold_adapters(player, "m/a1", "m/a2")
-    player.run(2.0)
-    player.wanted = {"m/a3"}
-    player.run(0.3)
-    assert player.engine.answers("m/a3")
+def test_an_adapter_is_swapped_without_a_wait_for_a_report(simulation):
+    """Guards against waiting for a report before each adapter swap."""
+    hold_adapters(simulation, "m/a1", "m/a2")
+    simulation.run(2.0)
+    simulation.wanted = {"m/a3"}
+    simulation.run(0.3)
+    assert simulation.engine.answers("m/a3")
 
 
-class OrdersGoOn(stateful.RuleBasedStateMachine):
-    """Whatever is lost, late or doubled: never too full, and never stuck."""
+class OrderFaultMachine(stateful.RuleBasedStateMachine):
+    """Checks that no fault overloads an engine or stops its orders for good."""
 
     def __init__(self):
         super().__init__()
-        self.player = player_lib.Simulation(("m", "n"))
+        self.simulation = simulation_lib.Simulation(("m", "n"))
 
-    @stateful.rule(deliveries=st.lists(st.sampled_from(FATES), max_size=3))
-    def calls_go_wrong(self, deliveries):
-        """The next orders are lost, late, doubled or answered in vain."""
-        self.player.deliveries.extend(deliveries)
+    @stateful.rule(deliveries=st.lists(st.sampled_from(DELIVERIES), max_size=3))
+    def inject_faults(self, deliveries):
+        """The next orders are lost, late, duplicated or answered in vain."""
+        self.simulation.deliveries.extend(deliveries)
 
-    @stateful.rule(what=st.sets(st.sampled_from(TARGETS), max_size=3))
-    def wait_for(self, what):
-        """Requests wait for models and adapters, and no longer for others."""
-        self.player.wanted = what
+    @stateful.rule(wanted=st.sets(st.sampled_from(TARGETS), max_size=3))
+    def request_targets(self, wanted):
+        """Changes which models and adapters requests wait for."""
+        self.simulation.wanted = wanted
 
     @stateful.rule(data=st.data(), is_told=st.booleans())
     def begin_use(self, data, is_told):
-        """A request begins to run; the giver of orders hears of it or not."""
-        engine = self.player.engine
+        """A request starts; the controller learns of it or not."""
+        engine = self.simulation.engine
         held = sorted(engine.models | engine.adapters)
         if held:
-            self.player.begin_use(data.draw(st.sampled_from(held)), is_told)
+            self.simulation.begin_use(data.draw(st.sampled_from(held)), is_told)
 
     @stateful.rule(data=st.data())
     def end_use(self, data):
         """A request ends."""
-        used = sorted(self.player.engine.uses)
+        used = sorted(self.simulation.engine.uses)
         if used:
-            self.player.end_use(data.draw(st.sampled_from(used)))
+            self.simulation.end_use(data.draw(st.sampled_from(used)))
 
     @stateful.rule()
     def arrives_late(self):
-        """An order without an answer arrives after all."""
-        self.player.arrives_late()
+        """A delayed order without an answer arrives after all."""
+        self.simulation.arrives_late()
 
     @stateful.rule(age_s=st.sampled_from([0.0, 0.1, 0.2, 0.3]))
-    def reports_lag(self, age_s):
-        """What the engine says of itself is older or newer from now on."""
-        self.player.report_age_s = age_s
+    def set_report_age(self, age_s):
+        """Changes the age of the engine's reports."""
+        self.simulation.report_age_s = age_s
 
     @stateful.rule(seconds=st.sampled_from([0.05, 0.1, 0.3, 1.0, 2.0]))
-    def time_passes(self, seconds):
-        """Orders are planned and given."""
-        self.player.run(seconds)
+    def advance_time(self, seconds):
+        """The controller plans and gives orders."""
+        self.simulation.run(seconds)
 
     @stateful.rule()
     def restart(self):
-        """The engine starts anew at its address."""
-        self.player.restart()
+        """The engine restarts at the same address."""
+        self.simulation.restart()
 
     @stateful.rule()
     def change_holder(self):
-        """Another instance takes the lease."""
-        self.player.change_holder()
+        """Another instance acquires the lease."""
+        self.simulation.change_holder()
 
     @stateful.invariant()
     def never_overloaded(self):
-        assert not self.player.engine.is_overloaded
+        assert not self.simulation.engine.is_overloaded
 
     def teardown(self):
-        """An engine that lives and answers takes an order again."""
-        player = self.player
+        """Once its calls succeed, the engine executes orders again."""
+        simulation = self.simulation
         try:
-            player.late.clear()
-            player.deliveries.clear()
-            for target, count in list(player.engine.uses.items()):
+            simulation.late.clear()
+            simulation.deliveries.clear()
+            for target, count in list(simulation.engine.uses.items()):
                 for _ in range(count):
-                    player.end_use(target)
-            player.wanted = {"m"}
-            player.run(2 * RECOVERS_S)
-            assert player.engine.answers("m")
+                    simulation.end_use(target)
+            simulation.wanted = {"m"}
+            simulation.run(2 * RECOVERY_S)
+            assert simulation.engine.answers("m")
             for target in ("m/a1", "m/a2", "m/a3"):
-                player.wanted = {"m", target}
-                player.run(RECOVERS_S)
-                assert player.engine.answers(target)
-            assert not player.engine.is_overloaded
+                simulation.wanted = {"m", target}
+                simulation.run(RECOVERY_S)
+                assert simulation.engine.answers(target)
+            assert not simulation.engine.is_overloaded
         finally:
-            player.close()
+            simulation.close()
 
 
-# Without shrinking: each step plays seconds of planning.
-OrdersGoOn.TestCase.settings = settings(
+# No shrinking: each step simulates seconds of planning.
+OrderFaultMachine.TestCase.settings = settings(
     derandomize=True,
     max_examples=100,
     stateful_step_count=40,
     deadline=None,
     phases=(Phase.explicit, Phase.generate),
 )
-TestOrdersGoOn = OrdersGoOn.TestCase
+TestOrderFaults = OrderFaultMachine.TestCase
--- a/sesamecross/gateway/placement_publisher.py
+++ b/sesamecross/gateway/placement_publisher.py
@@ -1,9 +1,9 @@
-"""Tells instances what engines hold and when the next models are expected.
+"""Publishes what engines hold and when further models are expected.
 
-Why: instances route by this word, and a request that waits for a model goes on
-the moment it comes. Only what changed is told, and now and then everything,
-for who missed it; who asked for a model hears of it directly, without the way
-over the hubs.
+Instances route by this, and a request that waits for a model continues as soon
+as the model is loaded. Only changes are published, and at intervals everything,
+for instances that missed a message. An instance that requested a model is told
+directly, without a relay by a hub.
 """
 
 import asyncio
@@ -15,23 +15,24 @@
 from sesamecross.gateway import state as state_lib
 from sesamecross.ops.fleet import engine_inventory
 
-# All engines' places are told anew this often, for who missed them.
-REFRESH_S = 1.5
+# How often all placements are published, for instances that missed some.
+REFRESH_INTERVAL_S = 1.5
 
 
-def engine_place(
+def engine_placement(
     inventory: engine_inventory.EngineInventory,
     withdrawn: set[str],
     planned: Mapping[str, float],
     now_s: float,
 ) -> fm.EnginePlacement:
-    """Returns an engine's place, as it is told.
+    """Returns an engine's placement in the form in which it is published.
 
     Args:
-      ledger: The books on the engine.
+      inventory: The engine's inventory.
       withdrawn: Models that get no new requests there.
-      planned: When models are expected that wait for room there.
-      now_s: Monotonic time; expected times are told as seconds from it.
+      planned: When models that wait for memory there are expected.
+      now_s: Monotonic time; expected times are published relative to it, in
+        seconds.
     """
     targets = {
         target
@@ -56,86 +57,88 @@
 
 
 class PlacementPublisher:
-    """Tells the other instances, and takes in what they tell."""
+    """Publishes placements to the other instances and applies theirs."""
 
-    __slots__ = ("_state", "_mesh", "_told", "_waiting", "_refreshed_s")
+    __slots__ = ("_state", "_mesh", "_published", "_waiters", "_last_refresh_s")
 
     def __init__(self, state: state_lib.State, mesh: mesh_lib.Mesh):
         self._state = state
         self._mesh = mesh
-        self._told: dict[str, fm.EnginePlacement] = {}
+        self._published: dict[str, fm.EnginePlacement] = {}
         # Names of instances that wait for a target.
-        self._waiting: dict[str, set[str]] = {}
-        self._refreshed_s = 0.0
+        self._waiters: dict[str, set[str]] = {}
+        self._last_refresh_s = 0.0
 
-    def waits(self, target: str, instance: str) -> None:
+    def add_waiter(self, target: str, instance: str) -> None:
         """Notes that another instance waits for a target."""
-        self._waiting.setdefault(target, set()).add(instance)
+        self._waiters.setdefault(target, set()).add(instance)
 
-    def forget(self) -> None:
-        """Forgets what was told: another instance tells from now on."""
-        self._told.clear()
-        self._waiting.clear()
+    def clear(self) -> None:
+        """Discards what was published: another instance takes over."""
+        self._published.clear()
+        self._waiters.clear()
 
-    def take(self, message: fm.Placement) -> None:
-        """Takes in what the giver of orders tells, unless it is outdated."""
+    def apply(self, message: fm.Placement) -> None:
+        """Applies the lease holder's placement, unless it is outdated."""
         now_s = asyncio.get_running_loop().time()
         lease = self._mesh.lease
         if lease is not None and message.fence < lease.fence:
             return
-        for place in message.engines:
-            known = self._state.directory.get(place.upstream)
+        for placement in message.engines:
+            known = self._state.directory.get(placement.upstream)
             if known is not None:
-                known.engine.apply_placement(place, now_s)
+                known.engine.apply_placement(placement, now_s)
         self._state.notify_change()
 
-    def tell(
-        self, places: Iterable[fm.EnginePlacement], fence: int, now_s: float
+    def publish(
+        self, placements: Iterable[fm.EnginePlacement], fence: int, now_s: float
     ) -> None:
-        """Tells everybody what changed, and now and then everything."""
-        is_refresh = now_s - self._refreshed_s >= REFRESH_S
+        """Publishes changes, and at intervals everything."""
+        is_refresh = now_s - self._last_refresh_s >= REFRESH_INTERVAL_S
         if is_refresh:
-            self._refreshed_s = now_s
+            self._last_refresh_s = now_s
         changed = []
         current = {}
-        for place in places:
-            current[place.upstream] = place
-            if is_refresh or _differs(self._told.get(place.upstream), place):
-                changed.append(place)
-        self._told = current
+        for placement in placements:
+            current[placement.upstream] = placement
+            if is_refresh or _differs(
+                self._published.get(placement.upstream), placement
+            ):
+                changed.append(placement)
+        self._published = current
         if not changed:
             return
         message = fm.Placement(
             self._mesh.me, self._mesh.next_number(), fence, changed
         )
-        self.take(message)
+        self.apply(message)
         self._mesh.broadcast(message)
-        self._tell_waiting(message)
-
-    def _tell_waiting(self, message: fm.Placement) -> None:
-        told: set[str] = set()
-        for place in message.engines:
-            for target in place.targets:
-                told |= self._waiting.pop(target, set())
-        for name in told:
+        self._send_to_waiters(message)
+
+    def _send_to_waiters(self, message: fm.Placement) -> None:
+        recipients: set[str] = set()
+        for placement in message.engines:
+            for target in placement.targets:
+                recipients |= self._waiters.pop(target, set())
+        for name in recipients:
             member = self._mesh.roster.get(name)
             if member is not None:
                 self._mesh.send(message, member)
 
 
 def _differs(
-    told: fm.EnginePlacement | None, place: fm.EnginePlacement
+    published: fm.EnginePlacement | None, placement: fm.EnginePlacement
 ) -> bool:
-    if told is None:
+    if published is None:
         return True
     return (
-        told.born_ms != place.born_ms
-        or told.orders != place.orders
-        or told.targets != place.targets
-        or _names(told.arriving) != _names(place.arriving)
-        or _names(told.planned) != _names(place.planned)
+        published.born_ms != placement.born_ms
+        or published.orders != placement.orders
+        or published.targets != placement.targets
+        or _targets_of(published.arriving) != _targets_of(placement.arriving)
+        or _targets_of(published.planned) != _targets_of(placement.planned)
     )
 
 
-def _names(expected: list[tuple[str, float]]) -> list[str]:
+def _targets_of(expected: list[tuple[str, float]]) -> list[str]:
     return [name for name, _ in expected]
--- a/sesamecross/gateway/placement_publisher_test.py
+++ b/sesamecross/gateway/placement_publisher_test.py
@@ -1,4 +1,4 @@
-"""Tests of what is told of engines, to whom and when."""
+"""Tests of which placements are published, to whom and when."""
 
 import asyncio
 import types
@@ -34,7 +34,7 @@
 
 
 class _State:
-    """Knows no upstreams; counts how often it was touched."""
+    """Knows no upstreams; counts change notifications."""
 
     def __init__(self) -> None:
         self.directory: dict = {}
@@ -44,88 +44,90 @@
         self.touched += 1
 
 
-def place(
+def placement(
     name="e1", orders=1, targets=("m1",), born_ms=7
 ) -> fm.EnginePlacement:
     return fm.EnginePlacement(name, born_ms, orders, list(targets), [], [])
 
 
-def teller() -> tuple[placement_publisher.PlacementPublisher, _Mesh, _State]:
+def make_publisher() -> tuple[
+    placement_publisher.PlacementPublisher, _Mesh, _State
+]:
     mesh, state = _Mesh(), _State()
     return placement_publisher.PlacementPublisher(state, mesh), mesh, state
 
 
-def tell(one, *steps) -> None:
-    """Tells a list of places at each time, on a running loop."""
+def publish(publisher, *steps) -> None:
+    """Publishes a list of placements at each time, on a running loop."""
 
-    async def play():
+    async def scenario():
         for now_s, places in steps:
-            one.tell(places, 5, now_s)
+            publisher.publish(places, 5, now_s)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("later", "is_told"),
+    ("later", "is_published"),
     [
-        (place(), False),
-        (place(orders=2), True),
-        (place(targets=()), True),
-        (place(born_ms=8), True),
-        (place(name="e2"), True),
+        (placement(), False),
+        (placement(orders=2), True),
+        (placement(targets=()), True),
+        (placement(born_ms=8), True),
+        (placement(name="e2"), True),
     ],
 )
-def test_only_what_changed_is_told(later, is_told):
-    one, mesh, _ = teller()
-    tell(one, (10.0, [place()]), (10.1, [later]))
-    assert len(mesh.broadcasts) == 1 + is_told
+def test_only_changes_are_published(later, is_published):
+    publisher, mesh, _ = make_publisher()
+    publish(publisher, (10.0, [placement()]), (10.1, [later]))
+    assert len(mesh.broadcasts) == 1 + is_published
 
 
-def test_everything_is_told_anew_now_and_then():
-    one, mesh, _ = teller()
-    again_s = 10.0 + placement_publisher.REFRESH_S
-    tell(one, (10.0, [place()]), (again_s, [place()]))
-    assert [len(told.engines) for told in mesh.broadcasts] == [1, 1]
+def test_everything_is_published_periodically():
+    publisher, mesh, _ = make_publisher()
+    again_s = 10.0 + placement_publisher.REFRESH_INTERVAL_S
+    publish(publisher, (10.0, [placement()]), (again_s, [placement()]))
+    assert [len(published.engines) for published in mesh.broadcasts] == [1, 1]
 
 
-def test_an_engine_that_went_and_came_back_is_told_again():
-    one, mesh, _ = teller()
-    tell(one, (10.0, [place()]), (10.1, []), (10.2, [place()]))
+def test_engine_that_went_and_came_back_is_published_again():
+    publisher, mesh, _ = make_publisher()
+    publish(publisher, (10.0, [placement()]), (10.1, []), (10.2, [placement()]))
     assert len(mesh.broadcasts) == 2
 
 
-def test_who_waits_hears_of_the_target_once():
-    one, mesh, _ = teller()
-    one.waits("m2", "i2")
-    tell(
-        one,
-        (10.0, [place()]),
-        (10.1, [place(orders=2, targets=("m2",))]),
-        (10.2, [place(orders=3, targets=("m2",))]),
+def test_waiter_is_told_of_the_target_once():
+    publisher, mesh, _ = make_publisher()
+    publisher.add_waiter("m2", "i2")
+    publish(
+        publisher,
+        (10.0, [placement()]),
+        (10.1, [placement(orders=2, targets=("m2",))]),
+        (10.2, [placement(orders=3, targets=("m2",))]),
     )
     assert [member for _, member in mesh.sent] == [OTHER]
     assert mesh.sent[0][0].engines[0].orders == 2
 
 
 @pytest.mark.parametrize(("fence", "is_taken"), [(4, False), (5, True)])
-def test_the_word_of_an_earlier_holder_is_not_taken(fence, is_taken):
-    one, _, state = teller()
+def test_placement_of_an_earlier_holder_is_ignored(fence, is_taken):
+    publisher, _, state = make_publisher()
 
-    async def play():
-        one.take(fm.Placement(ME, 1, fence, [place()]))
+    async def scenario():
+        publisher.apply(fm.Placement(ME, 1, fence, [placement()]))
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     assert state.touched == is_taken
 
 
-def test_a_withdrawn_model_is_not_told_nor_its_adapters():
+def test_withdrawn_model_and_its_adapters_are_not_published():
     inventory = engine_inventory.EngineInventory("e1", 7, orders=3)
     inventory.models = {"m1", "m2"}
     inventory.adapters = {"m1/a1", "m2/a1"}
     inventory.arriving = {"m3": 12.5}
-    told = placement_publisher.engine_place(
+    published = placement_publisher.engine_placement(
         inventory, {"m1"}, {"m2": 11.0, "m4": 14.0}, 10.0
     )
-    assert told == fm.EnginePlacement(
+    assert published == fm.EnginePlacement(
         "e1", 7, 3, ["m2", "m2/a1"], [("m3", 2.5)], [("m4", 4.0)]
     )
