--- a/sesamecross/gateway/catalog.py
+++ b/sesamecross/gateway/catalog.py
@@ -5,7 +5,7 @@
 unreadable record is ignored, and so is one that is older than what is known.
 Each change of the state is logged with the offset of the record that caused it.
 
-A valid record can still make the code fail. Such a failure is logged and
+A record may also make the code raise an unforeseen exception. It is logged and
 affects that record only: an exception out of a sink would stop its follower,
 and repeated failures would end the process.
 """
--- a/sesamecross/gateway/lease_manager_test.py
+++ b/sesamecross/gateway/lease_manager_test.py
@@ -212,8 +212,8 @@
             await topic.run_steps(1)
         if is_renewing:
             topic.is_slow = True
-            taken = len(topic.writes)
-            while len(topic.writes) == taken:
+            write_count = len(topic.writes)
+            while len(topic.writes) == write_count:
                 await topic.run_steps(1)
         before = len(topic.writes)
         await manager.stop()
--- a/sesamecross/gateway/placement_controller.py
+++ b/sesamecross/gateway/placement_controller.py
@@ -44,8 +44,7 @@
 # one's duration. For 56 engines and 135 models one takes 25 to 50 ms of a core;
 # the instance has half a core and callers to serve.
 TARGET_REST_RATIO = 5.0
-# A placement request is repeated while a request waits, and expires without
-# that.
+# How long a placement request stays valid; it is repeated while requests wait.
 PLACEMENT_REQUEST_TTL_S = 0.6
 # How often an instance repeats the placement request for the same target, on
 # behalf of all its requests that wait for it.
@@ -58,8 +57,8 @@
 # How long after an engine appeared until others that start with it have
 # appeared too: they register within some seconds of each other.
 ENGINES_SETTLE_S = 4.0
-# A withdrawn model that was not unloaded by then serves again: its requests
-# last longer than its memory is worth waiting for.
+# How long a model stays withdrawn without being unloaded. After that it serves
+# again: its requests last longer than its memory is worth waiting for.
 WITHDRAWAL_TTL_S = 8.0
 
 
@@ -353,8 +352,8 @@
             self._targets.get(service, {}),
             tuple(
                 placement_types.AdapterWant(upstream, target)
-                for (of, target, upstream) in self._placement_requests
-                if of == service and upstream and "/" in target
+                for (requested, target, upstream) in self._placement_requests
+                if requested == service and upstream and "/" in target
             ),
             store_loads=(
                 max(0, max_parallel_loads - active_loads)
--- a/sesamecross/gateway/placement_publisher_test.py
+++ b/sesamecross/gateway/placement_publisher_test.py
@@ -38,10 +38,10 @@
 
     def __init__(self) -> None:
         self.directory: dict = {}
-        self.touched = 0
+        self.change_count = 0
 
     def notify_change(self) -> None:
-        self.touched += 1
+        self.change_count += 1
 
 
 def placement(
@@ -61,8 +61,8 @@
     """Publishes a list of placements at each time, on a running loop."""
 
     async def scenario():
-        for now_s, places in steps:
-            publisher.publish(places, 5, now_s)
+        for now_s, placements in steps:
+            publisher.publish(placements, 5, now_s)
 
     asyncio.run(scenario())
 
@@ -109,15 +109,15 @@
     assert mesh.sent[0][0].engines[0].orders == 2
 
 
-@pytest.mark.parametrize(("fence", "is_taken"), [(4, False), (5, True)])
-def test_placement_of_an_earlier_holder_is_ignored(fence, is_taken):
+@pytest.mark.parametrize(("fence", "is_applied"), [(4, False), (5, True)])
+def test_placement_of_an_earlier_holder_is_ignored(fence, is_applied):
     publisher, _, state = make_publisher()
 
     async def scenario():
         publisher.apply(fm.Placement(ME, 1, fence, [placement()]))
 
     asyncio.run(scenario())
-    assert state.touched == is_taken
+    assert state.change_count == is_applied
 
 
 def test_withdrawn_model_and_its_adapters_are_not_published():
--- a/sesamecross/gateway/sync.py
+++ b/sesamecross/gateway/sync.py
@@ -287,8 +287,8 @@
         return holder
 
     def _is_current_holder(self, holder: fm.Member) -> bool:
-        now = self._holder()
-        return now is not None and (now.name, now.incarnation) == (
+        current = self._holder()
+        return current is not None and (current.name, current.incarnation) == (
             holder.name,
             holder.incarnation,
         )
