--- a/sesamecross/core/__init__.py
+++ b/sesamecross/core/__init__.py
@@ -1,1 +1,1 @@
-"""Records and small rules that all other packages speak."""
+"""Records, messages and clocks shared by all other packages."""
--- a/sesamecross/core/clock.py
+++ b/sesamecross/core/clock.py
@@ -1,7 +1,7 @@
-"""Clocks as arguments, so that decisions never read the machine's.
+"""Clocks that are passed in as arguments.
 
-Why: a decision that reads a clock by itself can't be replayed or tested the
-same way twice. Shells own a `SystemClock`; tests own a `ManualClock`.
+Code that reads the system clock directly can't be replayed or tested
+deterministically. Processes create a `SystemClock`, tests a `ManualClock`.
 """
 
 import time
@@ -9,35 +9,35 @@
 
 
 class Clock(Protocol):
-    """Gives monotonic and wall-clock milliseconds."""
+    """Source of monotonic and wall-clock time in milliseconds."""
 
     def monotonic_ms(self) -> int:
-        """Returns milliseconds that never go back; the origin is arbitrary."""
+        """Returns non-decreasing milliseconds from an arbitrary origin."""
 
     def wall_ms(self) -> int:
-        """Returns milliseconds since 1970, perhaps wrong by minutes."""
+        """Returns milliseconds since the Unix epoch; may be off by minutes."""
 
 
 class SystemClock:
-    """The machine's clocks."""
+    """The clocks of the operating system."""
 
     __slots__ = ()
 
     def monotonic_ms(self) -> int:
-        """Returns the machine's monotonic milliseconds.
+        """Returns the system's monotonic time in milliseconds.
 
-        This clock goes on while the machine is suspended, so that a sleep
-        shows as time that passed.
+        This clock keeps running while the system is suspended, so the
+        suspension counts as elapsed time.
         """
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
 
     def wall_ms(self) -> int:
-        """Returns the machine's wall-clock milliseconds."""
+        """Returns the system's wall-clock time in milliseconds."""
         return time.time_ns() // 1_000_000
 
 
 class ManualClock:
-    """A clock that moves only when told to."""
+    """A clock that advances only when `advance` is called."""
 
     __slots__ = ("_now_ms", "skew_ms")
 
@@ -46,13 +46,13 @@
         self.skew_ms = skew_ms
 
     def advance(self, ms: int) -> None:
-        """Moves both readings forward by `ms` milliseconds."""
+        """Advances both clocks by `ms` milliseconds."""
         self._now_ms += ms
 
     def monotonic_ms(self) -> int:
-        """Returns the milliseconds set by the test."""
+        """Returns the time set by the test, in milliseconds."""
         return self._now_ms
 
     def wall_ms(self) -> int:
-        """Returns the milliseconds set by the test, with skew."""
+        """Returns the time set by the test plus `skew_ms`, in milliseconds."""
         return self._now_ms + self.skew_ms
--- a/sesamecross/core/codec.py
+++ b/sesamecross/core/codec.py
@@ -1,9 +1,8 @@
-"""Typed records to and from `msgpack` bytes.
+"""Encodes typed records as `msgpack` bytes and decodes them.
 
-Why: bare maps between processes hide mistakes until they matter. Each
-message type is registered under its class name; decoding checks every field
-against the class and gives a `Problem` instead of an exception, so hostile
-bytes can't reach a decision.
+Each message type is registered under its class name. Decoding validates every
+field against the class, so errors that untyped maps would hide are found at
+the boundary. Invalid input gives a `Problem` instead of an exception.
 """
 
 from typing import Any
@@ -18,30 +17,29 @@
 
 _TYPES: dict[str, type] = {}
 
-# The bounds of what one record may hold; a frame's own size is bounded by
-# the transport.
+# Largest array or map in a record. The transport bounds the frame size.
 _MAX_ITEMS = 200_000
 
 
 def register(cls: type) -> type:
-    """Registers a dataclass as a message; use as a decorator."""
+    """Class decorator that registers a dataclass as a message type."""
     _TYPES[cls.__name__] = cls
     return cls
 
 
 def to_plain(record: Any) -> list:
-    """Returns `[type name, fields]` with only built-in types."""
+    """Returns a record as `[type name, fields]` of built-in types only."""
     fields = msgspec.to_builtins(record, builtin_types=(bytes,))
     return [type(record).__name__, fields]
 
 
 def encode(record: Any) -> bytes:
-    """Returns a registered record as bytes."""
+    """Encodes a registered record."""
     return msgpack.packb(to_plain(record))
 
 
 def from_plain(plain: Any) -> Result[Any, errors.Problem]:
-    """Returns the record in `plain`, checked against its type."""
+    """Returns the record in `plain`, validated against its type."""
     match plain:
         case [str(name), dict(fields)] if name in _TYPES:
             try:
@@ -54,13 +52,13 @@
 
 
 def decode(data: bytes) -> Result[Any, errors.Problem]:
-    """Returns the record in `data`, or why there is none."""
+    """Returns the record in `data`, or the reason why it is invalid."""
     try:
         plain = msgpack.unpackb(
             data, max_array_len=_MAX_ITEMS, max_map_len=_MAX_ITEMS
         )
-    # Each malformed input has its own exception type in the library; none
-    # of them may end the process that reads a stream.
+    # The library raises different exceptions for different malformed inputs.
+    # None of them may end the process that reads a stream.
     except (ValueError, TypeError, RecursionError) as error:
         return Failure(_problem("", f"is not msgpack ({error})"))
     return from_plain(plain)
--- a/sesamecross/core/codec_test.py
+++ b/sesamecross/core/codec_test.py
@@ -1,4 +1,4 @@
-"""Tests of the message codec: whole records through, broken bytes refused."""
+"""Tests of the message codec: round trips, and rejection of invalid bytes."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -27,22 +27,22 @@
 ]
 
 
-def test_records_come_back_equal():
+def test_records_round_trip():
     for record in RECORDS:
         assert codec.decode(codec.encode(record)) == Success(record)
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.binary(max_size=200))
-def test_any_bytes_give_an_error_and_no_exception(blob):
+def test_random_bytes_give_a_failure_and_no_exception(blob):
     assert isinstance(codec.decode(blob), Failure)
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.integers(0, 400), st.integers(0, 255))
-def test_one_changed_byte_never_raises(place, value):
+def test_one_changed_byte_never_raises(position, value):
     blob = bytearray(codec.encode(CLAIM))
-    blob[place % len(blob)] = value
+    blob[position % len(blob)] = value
     codec.decode(bytes(blob))
 
 
--- a/sesamecross/core/data.py
+++ b/sesamecross/core/data.py
@@ -1,8 +1,7 @@
-"""The records that every other module speaks.
+"""Records shared by routing, placement, claims and the command line.
 
-Why: routing, placement, claims and the command line must agree on what a
-model, an upstream or a caller is. All records here are immutable and plain;
-rules about them live in `ops`, reading them from files in `parser`.
+All records here are immutable and hold no logic; rules about them are in
+`ops`, and `parser` reads them from files.
 
 Units are in the field names: `_mib` is 2**20 bytes, `_ms` milliseconds.
 Names are unique within their kind.
@@ -26,23 +25,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Region:
-    """A region: links to other regions are slow and paid by volume."""
+    """A region; traffic to other regions is slow and billed by volume."""
 
     name: str
-    # Callers are told nothing of this; the router adds it as distance.
+    # One-way latency to other regions, which the router adds to the cost of an
+    # upstream. Not shown to callers.
     one_way_ms: NonNegative = 30
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Zone:
-    """An availability zone: the unit that a network partition cuts off."""
+    """An availability zone: the unit that a network partition isolates."""
 
     name: str
     region: str
 
 
 class UpstreamKind(enum.Enum):
-    """What answers at an upstream."""
+    """What runs at an upstream."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -52,9 +52,9 @@
 class Upstream:
     """A model engine or a plain service.
 
-    `checks_fencing` tells whether the engine refuses an order whose fencing
-    number is older than one that it has seen; only settings know this.
-    `memory_mib` bounds weights and adapters together and is 0 for a service.
+    `checks_fencing` tells whether the engine rejects orders with a fencing
+    token lower than the highest it has seen; the engine does not report this.
+    `memory_mib` limits weights and adapters together and is 0 for a service.
     """
 
     name: str
@@ -69,23 +69,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Promise:
-    """What callers of a class of calls are promised for 95 in 100 calls."""
+    """Latency objective of a class of calls, for 95 in 100 calls."""
 
     name: str
     first_token_ms: Positive = 320
     between_tokens_ms: Positive = 55
-    # Calls of a smaller number go first.
+    # Lower numbers are served first.
     priority: Annotated[int, msgspec.Meta(ge=0, le=9)] = 5
-    # A call that may queue waits up to this long before it is refused.
+    # The longest time that a call may wait in a queue before it is refused.
     queue_ms: NonNegative = 2000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Model:
-    """A model and where it must stay resident.
+    """A model and its residency requirements.
 
-    `replicas` counts engines over the whole deployment; `must_stay` says
-    that at no instant the last resident replica may be unloaded.
+    `replicas` counts engines over the whole deployment. With `must_stay`, the
+    last resident replica may never be unloaded.
     """
 
     name: str
@@ -98,7 +98,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Adapter:
-    """A small set of weights loaded beside its model."""
+    """A small set of weights that is loaded in addition to its model."""
 
     name: str
     model: str
@@ -108,9 +108,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallRule:
-    """Which calls to a service may not be repeated.
+    """Declares whether some calls to a service are idempotent.
 
-    `path` is a prefix of the path behind `/services/NAME`.
+    `path` is a prefix of the path after `/services/NAME`.
     """
 
     methods: tuple[str, ...]
@@ -122,8 +122,8 @@
 class Service:
     """A plain service that the system routes to.
 
-    The first rule that matches a call decides. A call that no rule matches
-    counts as idempotent only for the methods that HTTP defines so.
+    The first rule that matches a call applies. A call that matches no rule is
+    idempotent only if HTTP defines its method as idempotent.
     """
 
     name: str
@@ -134,20 +134,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Caller:
-    """Somebody who calls, known by the digest of a bearer key."""
+    """A caller, identified by the digest of its bearer key."""
 
     name: str
     key_digest: KeyDigest
     home_zone: str
     models: tuple[str, ...] = ()
     services: tuple[str, ...] = ()
-    # Calls that the caller may have open at one entry instance.
+    # Largest number of open calls at one entry instance.
     concurrency: Positive = 64
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WeightStore:
-    """The weight store's limits as its supplier declares them."""
+    """Limits of the weight store, as declared by its provider."""
 
     loads_per_second: PositiveRate = 1.0
     full_speed_loads: Positive = 2
@@ -156,7 +156,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacementWeights:
-    """How much each measure counts when placement is planned."""
+    """Weights of the terms of the placement cost function."""
 
     attainment: Weight = 1.0
     moves: Weight = 1.0
@@ -164,7 +164,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimLimits:
-    """How long and how large the answers to claimed calls are kept."""
+    """Limits on the number and size of kept answers to claimed calls."""
 
     remembered: Positive = 10_000
     answer_bytes: Positive = 65_536
@@ -172,7 +172,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Declarations:
-    """All that operators declare, checked. Tables are sorted by name."""
+    """All operator declarations, validated. Tables are sorted by name."""
 
     regions: dict[str, Region]
     zones: dict[str, Zone]
@@ -194,18 +194,18 @@
 
 
 def empty_declarations() -> Declarations:
-    """Returns declarations that declare nothing."""
+    """Returns declarations without any entries."""
     return Declarations({}, {}, {}, {}, {}, {}, {}, {})
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Incarnation:
-    """One life of a process at an instance.
+    """One run of a process at an instance.
 
     Attributes:
       instance: The instance's name from its settings.
-      started: Unique for each start. Compared only for equality: an
-        instance that comes back with the same address is another process.
+      started: Unique for each start, and compared only for equality. A
+        restarted process is a different incarnation, even at the same address.
     """
 
     instance: str
@@ -214,7 +214,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """A steward as it introduces itself on the log and to its peers."""
+    """A steward as it announces itself on the log and to its peers."""
 
     incarnation: Incarnation
     zone: str
@@ -224,7 +224,7 @@
 
 
 class OrderAction(enum.Enum):
-    """What an engine can be told to do."""
+    """Operations that an engine can be ordered to perform."""
 
     LOAD_MODEL = "load_model"
     UNLOAD_MODEL = "unload_model"
@@ -233,7 +233,7 @@
 
     @property
     def loads(self) -> bool:
-        """Whether the action takes memory."""
+        """Whether the action allocates memory."""
         return self in (OrderAction.LOAD_MODEL, OrderAction.LOAD_ADAPTER)
 
 
@@ -243,8 +243,8 @@
 
     Attributes:
       target: The model's or adapter's name.
-      epoch: The engine's epoch that the order was planned against. An
-        engine that restarted since has another and holds nothing.
+      epoch: The engine's epoch that the order was planned for. An engine that
+        restarted since has another epoch and holds no weights.
     """
 
     order_id: str
@@ -258,14 +258,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamReport:
-    """What an upstream last said of itself.
+    """The last status report of an upstream.
 
     Attributes:
       epoch: Changes at each restart of the upstream.
-      sequence: Grows with each report of one epoch and reporter.
-      observed_ms: Reporter's monotonic clock reading, for logs only.
+      sequence: Increases with each report of one epoch and reporter.
       running: Calls in the batch. waiting: calls queued behind it.
-      resident: Names of models and adapters ready to answer.
+      resident: Names of the models and adapters that are ready to serve.
     """
 
     upstream: str
@@ -281,7 +280,7 @@
 
 
 class ClaimState(enum.Enum):
-    """What is known of a claimed call."""
+    """State of a claimed call."""
 
     WON = "won"
     NOT_CLAIMED = "not_claimed"
@@ -293,7 +292,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """A remembered answer of a plain service."""
+    """A stored answer of a plain service."""
 
     status: int
     content_type: str
@@ -302,7 +301,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimVerdict:
-    """The log's verdict on a claim: only `WON` may dispatch the call."""
+    """The decision on a claim; the call may be sent only on `WON`."""
 
     state: ClaimState
     claim_id: str
@@ -312,13 +311,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class View:
-    """What a steward hands to its entry: all that relaying needs.
+    """The state that an entry needs for relaying, sent by its steward.
 
     Attributes:
-      number: Grows with each view that one steward hands out.
-      tree: The merged configuration, checked by the same parser again.
-        None when the configuration did not change since the last view.
-      entries: Entry instances believed alive.
+      number: Increases with each view that a steward sends.
+      tree: The merged configuration, which the entry parses and validates
+        again. None if it has not changed since the last view.
+      entries: Number of entry instances believed to be alive.
     """
 
     number: int
--- a/sesamecross/core/errors.py
+++ b/sesamecross/core/errors.py
@@ -1,9 +1,9 @@
-"""Typed kinds of errors whose messages name the remedy.
+"""Typed errors whose messages name a remedy.
 
-Why: an operator who reads an error at night needs the place, the reason and
-what to do next, and code needs a kind to decide by. Functions return these
-inside `returns.result.Failure` or in a list beside their result; only I/O
-shells raise.
+Each error tells an operator the location, the reason and what to do next, and
+has a kind that code can branch on. Functions return errors inside
+`returns.result.Failure` or in a list beside their result; only I/O code
+raises.
 """
 
 import dataclasses
@@ -11,7 +11,7 @@
 
 
 class Kind(enum.Enum):
-    """What went wrong, for code to decide by."""
+    """Category of an error, for code to branch on."""
 
     UNREADABLE = "unreadable"
     SYNTAX = "syntax"
@@ -34,7 +34,7 @@
     """One error.
 
     Attributes:
-      file: The file at fault, or the address of the system at fault.
+      file: The file or the address of the system that caused the error.
       key: The dotted key inside the file, or empty.
       reason: What is wrong, as a clause.
       remedy: What the reader can do, as a clause.
@@ -47,12 +47,12 @@
     kind: Kind = dataclasses.field(compare=False, default=Kind.BAD_VALUE)
 
     def __str__(self) -> str:
-        place = f"{self.file}: {self.key}" if self.key else self.file
-        return f"{place}: {self.reason}; {self.remedy}"
+        location = f"{self.file}: {self.key}" if self.key else self.file
+        return f"{location}: {self.reason}; {self.remedy}"
 
 
 class ProblemError(Exception):
-    """Carries a `Problem` through code that has to raise."""
+    """Exception that carries a `Problem`, for code that has to raise."""
 
     def __init__(self, problem: Problem):
         super().__init__(str(problem))
--- a/sesamecross/core/fleet_messages.py
+++ b/sesamecross/core/fleet_messages.py
@@ -1,15 +1,15 @@
-"""What gateways tell each other in datagrams.
+"""Messages that gateways send each other in datagrams.
 
-Why: each instance sees a small share of the requests. What it knows of the
-load at upstreams, of failures and of models under way comes from the others.
-The messages are `msgpack` arrays, checked field by field when they are read;
-they are sent again and again, so a lost one costs freshness and nothing else.
+Each instance handles a small share of the requests, so it learns from the
+others about the load of upstreams, failures and models being loaded. Messages
+are `msgpack` arrays, validated field by field when they are decoded. They are
+resent periodically, so a lost message only makes the data less fresh.
 
 A member reports to the hub of its availability zone, hubs exchange summaries,
-and each hub hands the merged view to its members.
+and each hub sends the merged view to its members.
 
 Messages of more than a few rows are compressed: names and addresses repeat, and
-a hub's link of some Mbit/s carries callers' answers too.
+a hub's link of some Mbit/s also carries callers' answers.
 """
 
 import enum
@@ -17,23 +17,24 @@
 
 import msgspec
 
-# Below this, compression saves next to nothing.
-PACK_FROM_BYTES = 300
-# No message is longer, however small the datagram that brought it.
-MOST_BYTES = 1_000_000
-# Compressed messages begin with this byte, others with that of an array.
-_PACKED = 0x78
-_PACK_LEVEL = 1
+# Smaller messages gain almost nothing from compression.
+COMPRESS_MIN_BYTES = 300
+# Limits the size of a decompressed message, however small its datagram is.
+MAX_MESSAGE_BYTES = 1_000_000
+# First byte of a zlib stream. Other messages begin with a msgpack array byte.
+_ZLIB_FIRST_BYTE = 0x78
+_COMPRESSION_LEVEL = 1
 
 
 class UpstreamLoad(msgspec.Struct, frozen=True, array_like=True):
-    """Requests under way at an upstream.
+    """Requests in flight at an upstream.
 
     Attributes:
-      running: Sent and not ended.
-      prompt_tokens: Of those among them that have no event yet.
-      hears, silent, refused: Instances that hear the upstream, get no sign of
-        life, or find its port closed.
+      running: Requests that were sent and have not ended.
+      prompt_tokens: Prompt tokens of the running requests that have no event
+        yet.
+      hears, silent, refused: Number of instances that get responses from the
+        upstream, get none, or find its port closed.
     """
 
     upstream: str
@@ -45,7 +46,7 @@
 
 
 class TargetLoad(msgspec.Struct, frozen=True, array_like=True):
-    """Requests under way at an engine for one model or adapter."""
+    """Requests in flight at an engine for one model or adapter."""
 
     upstream: str
     target: str
@@ -53,17 +54,16 @@
 
 
 class TargetDemand(msgspec.Struct, frozen=True, array_like=True):
-    """How much a model or adapter is asked for.
+    """Demand for a model or adapter.
 
     Attributes:
       target: MODEL or MODEL/ADAPTER.
-      rate: Requests a second, smoothed over some seconds.
-      waiting: Requests that wait for it to be loaded.
-      late: Of the recent requests, the share that missed their objective.
-      place_s: How long a request takes its place in a batch, on average; 0
+      rate: Requests per second, smoothed over some seconds.
+      waiting: Requests that wait for the target to be loaded.
+      late: Share of the recent requests that missed their latency objective.
+      place_s: Mean time in seconds that a request occupies a batch slot; 0
         until one has ended.
-      read_s: How long an engine takes to read the prompt of a request, on
-        average.
+      read_s: Mean prefill time of a request's prompt, in seconds.
     """
 
     service: str
@@ -76,7 +76,7 @@
 
 
 class UpstreamOutcomes(msgspec.Struct, frozen=True, array_like=True):
-    """Recent outcomes at an upstream, faded: failures, and all of them."""
+    """Decayed counts of recent outcomes at an upstream: failures, and all."""
 
     upstream: str
     failed: float
@@ -84,13 +84,13 @@
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """An instance and how far it has come.
+    """An instance and its replication progress.
 
     Attributes:
-      incarnation: Offset of its registration; grows with each start.
-      address: IP and port of datagrams, and of streams.
+      incarnation: Offset of its registration; increases with each start.
+      address: IP and port, for both datagrams and streams.
       configuration: The version in force.
-      upstreams: Up to which offset it knows the upstreams' entries.
+      upstreams: Offset up to which it has read the upstreams' entries.
     """
 
     name: str
@@ -102,11 +102,12 @@
 
 
 class LeaseAnnouncement(msgspec.Struct, frozen=True, array_like=True):
-    """Who gives orders to engines, as its holder says.
+    """The lease for giving orders to engines, as announced by its holder.
 
     Attributes:
-      fence: The lease's fencing token; the largest one is the newest.
-      left_s: How long the lease was good for when this was sent.
+      fence: The lease's fencing token; the highest one is the newest.
+      left_s: Remaining validity of the lease when this was sent, in seconds;
+        negative once the lease is released.
     """
 
     holder: str
@@ -118,7 +119,7 @@
 class Report(
     msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=1
 ):
-    """A member's own figures, to the hub of its zone."""
+    """A member's own statistics, sent to the hub of its zone."""
 
     me: Member
     number: int
@@ -132,7 +133,7 @@
 class Summary(
     msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=2
 ):
-    """A zone's figures added up, from its hub to the other hubs."""
+    """The totals of a zone, sent by its hub to the other hubs."""
 
     me: Member
     number: int
@@ -145,10 +146,10 @@
 
 
 class View(msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=3):
-    """All zones' figures, from a hub to a member of its zone.
+    """The totals of all zones, sent by a hub to the members of its zone.
 
     Attributes:
-      taken: The number of each member's own report that is in the sums.
+      taken: By member, the number of its report that the totals include.
     """
 
     me: Member
@@ -163,15 +164,15 @@
 
 
 class EnginePlacement(msgspec.Struct, frozen=True, array_like=True):
-    """What an engine holds by the word of the lease's holder.
+    """The targets of an engine according to the lease holder.
 
     Attributes:
-      born_ms: Which life of the upstream is meant.
-      orders: Orders that it has accepted.
-      targets: Models and adapters that answer now.
-      arriving: Targets being loaded, and in how many seconds they answer.
-      planned: Models that will be loaded here once there is room, and in how
-        many seconds they are expected to answer.
+      born_ms: Start time of the upstream's incarnation, in wall-clock ms.
+      orders: Number of orders that it has accepted.
+      targets: Models and adapters that are ready.
+      arriving: Targets being loaded, and the seconds until they are ready.
+      planned: Models that will be loaded here once there is room, and the
+        expected seconds until they are ready.
     """
 
     upstream: str
@@ -185,7 +186,7 @@
 class Placement(
     msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=4
 ):
-    """What some engines hold, from the holder to everybody."""
+    """The targets of some engines, sent by the lease holder to all members."""
 
     me: Member
     number: int
@@ -196,10 +197,10 @@
 class PlacementRequest(
     msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=5
 ):
-    """A request waits for a target, to the lease's holder.
+    """Tells the lease holder that a request waits for a target.
 
     Attributes:
-      upstream: Where an adapter is wanted; empty leaves it to the holder.
+      upstream: Where to load an adapter; if empty, the holder chooses.
     """
 
     me: Member
@@ -212,12 +213,12 @@
 class AdmissionRequest(
     msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=6
 ):
-    """May a prompt be sent to an engine now? To who paces the engine.
+    """Asks the pacer of an engine whether a prompt may be sent to it now.
 
     Attributes:
-      tokens: What the engine would have to read.
-      spare_s: How long it may still wait and be on time.
-      patience_s: How long it may still wait at all.
+      tokens: Prompt tokens that the engine would have to process.
+      spare_s: How long the prompt can wait and still be on time, in seconds.
+      patience_s: How long the prompt can wait at all, in seconds.
     """
 
     me: Member
@@ -229,13 +230,13 @@
 
 
 class AdmissionDecision(enum.IntEnum):
-    """What is said of an ask.
+    """Decision on an admission request.
 
     Attributes:
-      WAIT: It was heard; another answer follows.
+      WAIT: The request is queued; another reply follows.
       SEND: The prompt may be sent now.
-      REFUSE: Its turn will not come while its caller waits.
-      LEAVE: Who was asked stops, and gives no more turns: ask the next one.
+      REFUSE: The prompt can't be admitted while its caller waits.
+      LEAVING: The pacer is stopping and admits nothing more; ask the next one.
     """
 
     WAIT = 0
@@ -247,10 +248,10 @@
 class AdmissionReply(
     msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=7
 ):
-    """The answer to an ask.
+    """The reply to an admission request.
 
     Attributes:
-      after_s: When a refused caller should come back; 0 otherwise.
+      after_s: Seconds after which a refused caller should retry; 0 otherwise.
     """
 
     me: Member
@@ -262,7 +263,7 @@
 class AdmissionRelease(
     msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=8
 ):
-    """A prompt was read, or will not be sent."""
+    """Tells the pacer that a prompt was processed or will not be sent."""
 
     me: Member
     number: int
@@ -272,9 +273,9 @@
 class LeaseRelease(
     msgspec.Struct, frozen=True, array_like=True, tag_field="t", tag=9
 ):
-    """The holder gave the lease back: to those who may take it next.
+    """Tells the next candidates that the holder has released the lease.
 
-    Its process ends at once, so that no report would leave in time.
+    The holder's process exits right after this, before its next report.
     """
 
     me: Member
@@ -299,23 +300,23 @@
 
 
 def encode(message: Message) -> bytes:
-    """Returns a message as bytes."""
+    """Encodes a message, compressing it if it is large."""
     data = _encoder.encode(message)
-    if len(data) < PACK_FROM_BYTES:
+    if len(data) < COMPRESS_MIN_BYTES:
         return data
-    return zlib.compress(data, _PACK_LEVEL)
+    return zlib.compress(data, _COMPRESSION_LEVEL)
 
 
 def decode(data: bytes) -> Message | None:
-    """Returns the message in `data`, or None where there is none."""
+    """Returns the message in `data`, or None if it is invalid."""
     try:
-        return _decoder.decode(_unpacked(data))
+        return _decoder.decode(_decompressed(data))
     except (msgspec.MsgspecError, zlib.error):
         return None
 
 
-def _unpacked(data: bytes) -> bytes:
-    if not data or data[0] != _PACKED:
+def _decompressed(data: bytes) -> bytes:
+    if not data or data[0] != _ZLIB_FIRST_BYTE:
         return data
-    # What is left out makes the message unreadable.
-    return zlib.decompressobj().decompress(data, MOST_BYTES)
+    # A message cut off at the limit fails to decode.
+    return zlib.decompressobj().decompress(data, MAX_MESSAGE_BYTES)
--- a/sesamecross/core/fleet_messages_test.py
+++ b/sesamecross/core/fleet_messages_test.py
@@ -1,4 +1,4 @@
-"""Tests of what gateways tell each other, as bytes."""
+"""Tests of the encoding of messages between gateways."""
 
 import zlib
 
@@ -19,13 +19,13 @@
 
 
 @pytest.mark.parametrize("rows", [0, 1, 10, 1000])
-def test_messages_of_any_size_are_read_as_they_were(rows):
+def test_messages_of_any_size_round_trip(rows):
     assert fm.decode(fm.encode(report(rows))) == report(rows)
 
 
-def test_a_message_that_unpacks_to_too_much_is_none():
-    """Guards against a small datagram that fills the memory."""
-    name = "a" * (2 * fm.MOST_BYTES)
+def test_a_message_that_decompresses_to_too_much_is_none():
+    """Guards against a small datagram that exhausts memory."""
+    name = "a" * (2 * fm.MAX_MESSAGE_BYTES)
     assert (
         fm.decode(fm.encode(fm.PlacementRequest(ME, 1, name, "", ""))) is None
     )
@@ -40,14 +40,14 @@
     )
 )
 def test_random_bytes_are_a_message_or_none(data):
-    """Guards against a datagram that ends whoever reads it."""
+    """Guards against a datagram that crashes its receiver."""
     fm.decode(data)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(rows=st.sampled_from([0, 100]), cut=st.integers(0, 400))
-def test_a_message_that_is_cut_short_is_none_or_whole(rows, cut):
-    """Guards against half of a message that is taken for the whole."""
-    part = fm.encode(report(rows))[:cut]
-    # A compressed message is whole without the checksum at its end.
-    assert fm.decode(part) in (None, report(rows))
+def test_a_truncated_message_is_none_or_complete(rows, cut):
+    """Guards against decoding a truncated message as a complete one."""
+    prefix = fm.encode(report(rows))[:cut]
+    # A compressed message is complete even without its trailing checksum.
+    assert fm.decode(prefix) in (None, report(rows))
--- a/sesamecross/core/group_messages.py
+++ b/sesamecross/core/group_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the participants of a claim group."""
+"""Messages between the members and witnesses of a claim group."""
 
 import dataclasses
 
@@ -9,10 +9,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplicatedClaim:
-    """A claim that a participant keeps beside the log.
+    """A claim that a participant stores in addition to the log.
 
     Attributes:
-      settled: Its outcome, where that is known.
+      settled: Its outcome, if known.
     """
 
     claim: records.ClaimMade
@@ -22,7 +22,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimAsk:
-    """The leader asks a participant to keep a claim."""
+    """The leader asks a participant to store a claim."""
 
     zone: str
     epoch: int
@@ -34,11 +34,11 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimAck:
-    """A participant keeps a claim, or tells why not.
+    """A participant has stored a claim, or says why it has not.
 
     Attributes:
-      known: An earlier claim of the same name, where that is why not.
-      dark: The sender has been out of touch with the log and all witnesses
+      known: The earlier claim of the same name, if that is the reason.
+      dark: The sender has been disconnected from the log and all witnesses
         for long enough that claims may count without them.
     """
 
@@ -54,9 +54,9 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroupFence:
-    """A member of a new epoch asks a participant of earlier ones to stop.
+    """A member of a new epoch fences out a participant of earlier epochs.
 
-    Whoever has answered keeps no claim under an epoch before `epoch`.
+    A participant that has replied stores no claims of epochs before `epoch`.
     """
 
     zone: str
@@ -66,14 +66,14 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroupFenced:
-    """A participant has stopped, and hands over what it keeps.
+    """A participant has stopped, and hands over its stored claims.
 
     Attributes:
       next_offset: How far the sender has replayed the log. Claims on the
-        log before this are not repeated here.
+        log before this offset are not included.
       active_epoch: The newest epoch in which the sender was active.
-      in_contact: Members that died while in touch with the sender.
-      doubt: The sender is in doubt and the log does not say so yet.
+      in_contact: Members that died while connected to the sender.
+      doubt: The sender is in doubt, which is not yet recorded on the log.
     """
 
     zone: str
@@ -89,7 +89,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimWithdrawn:
-    """The leader gives up a claim that never counted."""
+    """The leader abandons a claim that never counted."""
 
     zone: str
     claim_id: str
@@ -98,7 +98,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimTold:
-    """A claim's outcome, for participants to keep."""
+    """A claim's outcome, for participants to store."""
 
     zone: str
     settled: records.ClaimSettled
--- a/sesamecross/core/hlc.py
+++ b/sesamecross/core/hlc.py
@@ -1,9 +1,9 @@
-"""A hybrid logical clock, to order events over processes.
+"""A hybrid logical clock (HLC) for ordering events across processes.
 
-Why: clocks of instances differ by minutes, and a time line sorted by wall
-clock would show an answer before its question. A stamp is a pair of wall
-milliseconds and a counter that never goes back and always exceeds each stamp
-received, so that cause sorts before effect.
+Clocks of instances differ by minutes, so a time line sorted by wall clock would
+show an answer before its request. A timestamp is a pair of wall-clock
+milliseconds and a counter. It never decreases and always exceeds every
+timestamp received, so that causes sort before their effects.
 """
 
 import dataclasses
@@ -13,19 +13,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Timestamp:
-    """A point in the order of events."""
+    """An HLC timestamp."""
 
     wall_ms: int
     count: int
 
 
-# A stamp further ahead than this is not believed: one broken clock must not
-# drag the order of every process into the future.
-MAX_AHEAD_MS = 10 * 60 * 1000
+# Timestamps further ahead than this are ignored, so that one wrong clock does
+# not move the clocks of all processes into the future.
+MAX_SKEW_MS = 10 * 60 * 1000
 
 
 class HybridClock:
-    """Hands out stamps and merges those received. Not safe for threads."""
+    """Issues timestamps and merges received ones. Not thread-safe."""
 
     __slots__ = ("_clock", "_last")
 
@@ -34,7 +34,7 @@
         self._last = Timestamp(0, 0)
 
     def now(self) -> Timestamp:
-        """Returns a stamp that exceeds all handed out or received."""
+        """Returns a timestamp that exceeds all issued or received ones."""
         wall = self._clock.wall_ms()
         if wall > self._last.wall_ms:
             self._last = Timestamp(wall, 0)
@@ -42,8 +42,8 @@
             self._last = Timestamp(self._last.wall_ms, self._last.count + 1)
         return self._last
 
-    def receive(self, stamp: Timestamp) -> None:
-        """Makes all later stamps exceed `stamp`, unless it is absurd."""
-        if stamp.wall_ms > self._clock.wall_ms() + MAX_AHEAD_MS:
+    def receive(self, timestamp: Timestamp) -> None:
+        """Makes later timestamps exceed this one unless it is too far ahead."""
+        if timestamp.wall_ms > self._clock.wall_ms() + MAX_SKEW_MS:
             return
-        self._last = max(self._last, stamp)
+        self._last = max(self._last, timestamp)
--- a/sesamecross/core/messages.py
+++ b/sesamecross/core/messages.py
@@ -1,8 +1,8 @@
 """Messages on the streams between the system's own processes.
 
-Why: every message is a typed record, so that a program of another version or
-a hostile peer gets a decoding error and never a half-understood order. A
-message with `request_id` is answered by one that bears the same.
+Every message is a typed record, so that input from another version or from a
+hostile peer is rejected by the decoder and never partly processed. A message
+with `request_id` is answered by one with the same `request_id`.
 """
 
 import dataclasses
@@ -16,13 +16,14 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A steward tells a peer that it is alive, and what it knows.
+    """A steward tells a peer that it is alive, and its replication progress.
 
     Attributes:
       next_offset: How far the sender has replayed the log.
       version: Configuration version in force at the sender.
-      echo: The last `count` that the sender heard from the receiver.
-      kept_in_dark: Claims that the sender keeps and made out of touch.
+      echo: The last `count` that the sender received from the receiver.
+      kept_in_dark: Number of claims stored by the sender that were made while
+        it was disconnected from the log and all witnesses.
     """
 
     member: data.Member
@@ -46,7 +47,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class StateReply:
-    """A peer's state; None where the peer has none of its own yet."""
+    """A peer's state; None if the peer has not replayed any yet."""
 
     request_id: str
     snapshot: records.StateSnapshot | None
@@ -55,7 +56,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class SuspicionVote:
-    """A watcher's vote on a member, spread by gossip."""
+    """A watcher's vote on whether a member is alive, spread by gossip."""
 
     watcher: str
     incarnation: data.Incarnation
@@ -65,7 +66,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class ViewUpdate:
-    """A steward hands a view to its entry."""
+    """A steward sends a view to its entry."""
 
     view: data.View
 
@@ -73,7 +74,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class ViewTaken:
-    """An entry tells which configuration version is in force there."""
+    """An entry reports the configuration version that it has in force."""
 
     version: int
 
@@ -81,10 +82,10 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class DemandReport:
-    """An entry tells its steward what was asked of it.
+    """An entry reports the demand that it saw to its steward.
 
     Attributes:
-      calls: Calls by model or adapter since the last report.
+      calls: Number of calls by model or adapter since the last report.
       interval_ms: The time that the counts cover.
     """
 
@@ -104,10 +105,10 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimReply:
-    """The verdict; None where no verdict can be had now.
+    """The decision on a claim; None if none can be made now.
 
-    With None the call must not run, and as no claim that could win was
-    confirmed, the entry reports it as not run.
+    With None the call must not run. No claim that could win was confirmed, so
+    the entry reports the call as not run.
     """
 
     request_id: str
@@ -117,7 +118,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimLookup:
-    """An entry asks whether an earlier claim has settled meanwhile."""
+    """An entry asks whether an earlier claim has been settled since."""
 
     request_id: str
     claim: records.ClaimMade
@@ -126,7 +127,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimForward:
-    """A steward passes a claim on to the leader of the deciding group."""
+    """A steward forwards a claim to the leader of the deciding group."""
 
     request_id: str
     zone: str
@@ -137,7 +138,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutcomeForward:
-    """A steward passes an outcome on to the leader of the group."""
+    """A steward forwards an outcome to the leader of the deciding group."""
 
     request_id: str
     zone: str
@@ -147,7 +148,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimOutcome:
-    """An entry tells what became of a claim that it won."""
+    """An entry reports the outcome of a claim that it won."""
 
     request_id: str
     settled: records.ClaimSettled
@@ -156,7 +157,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class Done:
-    """Something asked for has taken effect, or not."""
+    """Tells whether a requested operation has taken effect."""
 
     request_id: str
     ok: bool
@@ -165,7 +166,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class EventsRequest:
-    """An operator or a steward collects the time line."""
+    """An operator or a steward asks for events of the time line."""
 
     request_id: str
     limit: int
@@ -175,7 +176,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class EventsReply:
-    """Events of one or more processes, as plain maps of `ops.timeline`."""
+    """Events of one or more processes, as the maps of `ops.timeline`."""
 
     request_id: str
     events: tuple[Any, ...]
@@ -193,7 +194,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerStatus:
-    """What a steward knows of one peer."""
+    """The status of one peer, as known to a steward."""
 
     instance: str
     zone: str
--- a/sesamecross/core/records.py
+++ b/sesamecross/core/records.py
@@ -1,9 +1,9 @@
-"""Records kept on the platform's log, and the envelope that groups them.
+"""Records on the platform's log, and the envelope that groups them.
 
-Why: order on the log is the only agreement there is. Every instance replays
-these records by the same pure rules (`ops.replay`), so a record states what
-somebody wants and on what it was based; whether it holds is decided at
-replay and nowhere else.
+The order of records on the log is the system's only means of agreement. Every
+instance replays them by the same pure rules (`ops.replay`). A record states a
+request and the state that it was based on; whether it takes effect is decided
+only at replay.
 """
 
 import dataclasses
@@ -17,13 +17,13 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigPublished:
-    """A change of configuration, made from the version `base_version`.
+    """A change of configuration, based on the version `base_version`.
 
     Attributes:
-      change_id: Unique for each change; a repeated publish bears the same.
+      change_id: Unique for each change; a retried publish has the same.
       patch: RFC 7396 merge patch against the base version's tree.
       digest: Digest of the whole tree after the patch.
-      format: Format of declarations that the change needs.
+      format: Format version of declarations that the change requires.
     """
 
     change_id: str
@@ -46,12 +46,12 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberLeft:
-    """A steward stopped as planned, or another proved that it is dead.
+    """A steward stopped as planned, or another one proved that it is dead.
 
     Attributes:
       dead: Its address refused connections, or another incarnation answered
-        there. Whoever replays this has the proof too.
-      in_contact: It died while in touch with the writer.
+        there. Readers of the log may rely on this as proof.
+      in_contact: It died while connected to the writer.
     """
 
     incarnation: data.Incarnation
@@ -62,12 +62,12 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseTaken:
-    """Somebody takes a zone's placement lease.
+    """A steward takes a zone's placement lease.
 
     Attributes:
       supersedes: Offset of the lease that this one ends, 0 for none. The
-        record only counts if that lease is still the current one, so of
-        two racing challengers the first on the log wins.
+        record takes effect only if that lease is still the current one, so
+        the first of two racing challengers on the log wins.
     """
 
     zone: str
@@ -78,7 +78,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseRenewed:
-    """The holder is alive; changes nothing but when others may challenge."""
+    """The holder is alive; only delays when others may challenge the lease."""
 
     zone: str
     lease: int
@@ -87,7 +87,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseReleased:
-    """The holder gives the lease back at a planned stop."""
+    """The holder releases the lease at a planned stop."""
 
     zone: str
     lease: int
@@ -104,10 +104,10 @@
 
 
 class IntentOutcome(enum.Enum):
-    """How an intent ended.
+    """Outcome of an intent.
 
     APPLIED: the engine confirmed it. VOID: the engine refused it or
-    restarted, and can never apply it any more.
+    restarted, and can no longer apply it.
     """
 
     APPLIED = "applied"
@@ -117,7 +117,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class IntentResolved:
-    """What became of an order."""
+    """The outcome of an order."""
 
     order_id: str
     outcome: IntentOutcome
@@ -126,16 +126,16 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimMade:
-    """A call that may not be repeated is claimed before it is dispatched.
+    """A claim on a non-idempotent call, made before the call is dispatched.
 
     Attributes:
-      call_digest: Digest of method, path and body, to tell a repeated call
-        from another one under the same key.
+      call_digest: Digest of method, path and body, to distinguish a repeated
+        call from a different call under the same key.
       holder: The steward beside the entry that asks.
       zone: The caller's home zone, whose group decides.
       epoch: The group's epoch under which the claim is made.
-      counted: The group has decided already and the record only keeps it.
-        Otherwise the record counts only while `epoch` is current.
+      counted: The group has already decided and the record only stores the
+        claim. Otherwise the record counts only while `epoch` is current.
     """
 
     claim_id: str
@@ -152,13 +152,13 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimSettled:
-    """What became of a claimed call.
+    """The outcome of a claimed call.
 
     Attributes:
-      executed: False only when no byte of the call left the claimer; the
-        key may then be claimed again.
-      answer: The service's answer; None where it is not known or was
-        larger than what is remembered.
+      executed: False only if no byte of the call was sent; the key may then
+        be claimed again.
+      answer: The service's answer; None if it is unknown or was larger than
+        the limit for stored answers.
     """
 
     claim_id: str
@@ -169,14 +169,14 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroupChanged:
-    """A zone's claim group gets other members.
+    """The membership of a zone's claim group changes.
 
     Attributes:
-      base_epoch: The epoch that this one follows; the record only counts if
-        that is the current one. The new epoch is one more.
+      base_epoch: The epoch that this one follows; the record takes effect only
+        if that is the current one. The new epoch is `base_epoch + 1`.
       members: Stewards that decide claims of the zone's callers.
-      witnesses: Stewards of other zones that keep what is claimed while the
-        log is away, and that fence members out.
+      witnesses: Stewards of other zones that store claims while the log is
+        unavailable, and that fence members out.
     """
 
     zone: str
@@ -191,7 +191,7 @@
     """All claims of epochs before `epoch` are accounted for.
 
     Attributes:
-      doubt: Claims may have been made that nobody alive knows of.
+      doubt: Claims may have been made that no live participant knows of.
     """
 
     zone: str
@@ -202,7 +202,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class DoubtCleared:
-    """An operator's word that no unknown claims of a zone matter."""
+    """An operator confirms that unknown claims of a zone can be ignored."""
 
     zone: str
     author: str
@@ -214,9 +214,9 @@
     """A zone's group has stopped deciding for a caller that moved away.
 
     Attributes:
-      epoch: The group's epoch; the record only counts while it is current,
-        so that a leader that was replaced meanwhile can't release.
-      forced: An operator's word that the earlier home is gone for good.
+      epoch: The group's epoch; the record takes effect only while it is
+        current, so that a leader that has been replaced can't release.
+      forced: An operator confirms that the previous home is gone for good.
     """
 
     caller: str
@@ -228,7 +228,7 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainMarked:
-    """An operator drains an upstream, or ends the drain."""
+    """An operator starts or ends draining of an upstream."""
 
     upstream: str
     draining: bool
@@ -242,7 +242,7 @@
 
     Attributes:
       digest: SHA-256 of `data` before compression.
-      data: Compressed state in the form of `ops.replay.SharedState.dump`.
+      data: Compressed state in the format of `ops.replay.SharedState.dump`.
     """
 
     upto: int
@@ -253,13 +253,13 @@
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class Envelope:
-    """What one append to the log carries.
+    """The payload of one append to the log.
 
     Attributes:
       append_id: Unique for each append. An append whose answer was lost is
-        sent again under the same id, and replay counts only the first.
-      entries: Records in the plain form of `codec.to_plain`.
-      stamp: The writer's hybrid clock, for the time line only.
+        sent again with the same id, and replay applies only the first.
+      entries: Records in the form of `codec.to_plain`.
+      stamp: The writer's HLC timestamp, for the time line only.
     """
 
     append_id: str
--- a/sesamecross/core/refusal.py
+++ b/sesamecross/core/refusal.py
@@ -1,8 +1,8 @@
-"""Refusals to callers: typed answers in the form of RFC 9457.
+"""Error responses to callers, as RFC 9457 problem documents.
 
-Why: a caller of a call that may not be repeated must know whether it may
-try again. `executed` says "no" only where no byte of the call can have been
-acted on, and "unknown" everywhere else.
+A caller of a non-idempotent call must know whether it can safely retry.
+`executed` is "no" only if the call can't have been processed at all, and
+"unknown" otherwise.
 """
 
 import dataclasses
@@ -13,7 +13,7 @@
 
 
 class Executed(enum.Enum):
-    """Whether the refused call may have been acted on."""
+    """Whether the refused call may have been executed."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -25,9 +25,9 @@
 
     Attributes:
       status: The HTTP status.
-      slug: The kind, stable over versions, for programs.
+      slug: Machine-readable kind, stable across versions.
       remedy: What the caller can do.
-      retry_after_s: When to come back; None where coming back won't help.
+      retry_after_s: Seconds until a retry; None if a retry won't help.
     """
 
     status: int
@@ -40,8 +40,8 @@
     def body(self, correlation_id: str) -> bytes:
         """Returns the problem document, with OpenAI's `error` member.
 
-        The stock OpenAI-style clients read `error.message`; the other
-        members are those of RFC 9457.
+        Standard OpenAI clients read `error.message`; the other members are
+        those of RFC 9457.
         """
         document = {
             "type": f"urn:sesamecross:problem:{self.slug}",
@@ -59,7 +59,7 @@
         return json.dumps(document).encode()
 
     def headers(self) -> list[tuple[str, str]]:
-        """Returns the headers that go with the document."""
+        """Returns the response headers for the document."""
         headers = [("Content-Type", CONTENT_TYPE)]
         if self.retry_after_s is not None:
             headers.append(("Retry-After", str(self.retry_after_s)))
@@ -77,7 +77,7 @@
 
 
 def forbidden(what: str) -> Refusal:
-    """Refuses something that exists or not, without telling which."""
+    """Refuses access without revealing whether `what` exists."""
     return Refusal(
         404,
         "not-available",
@@ -87,7 +87,7 @@
 
 
 def bad_request(title: str, remedy: str) -> Refusal:
-    """Refuses a call that is malformed."""
+    """Refuses a malformed call."""
     return Refusal(400, "bad-request", title, remedy)
 
 
@@ -103,7 +103,7 @@
 
 
 def overloaded(retry_after_s: int) -> Refusal:
-    """Refuses a call that could not be answered within its promise."""
+    """Refuses a call that can't be answered within its latency objective."""
     return Refusal(
         429,
         "overloaded",
@@ -114,7 +114,7 @@
 
 
 def stopping() -> Refusal:
-    """Refuses a new call at an instance that is leaving."""
+    """Refuses a new call at an instance that is stopping."""
     return Refusal(
         503,
         "stopping",
@@ -150,9 +150,9 @@
 def claims_unavailable(executed: Executed) -> Refusal:
     """Refuses a call that can't be claimed now.
 
-    This arrival was not run. Whether an earlier one under the same key was
-    is only known to the group that decides the caller's claims: `executed`
-    is "no" only with its word.
+    This attempt was not run. Only the group that decides the caller's claims
+    knows whether an earlier attempt with the same key was: `executed` is "no"
+    only if the group says so.
     """
     return Refusal(
         503,
@@ -165,7 +165,7 @@
 
 
 def in_progress() -> Refusal:
-    """Refuses a repeated call whose first arrival still runs."""
+    """Refuses a repeated call whose first attempt is still running."""
     return Refusal(
         409,
         "in-progress",
@@ -177,7 +177,7 @@
 
 
 def outcome_unknown() -> Refusal:
-    """Refuses a repeated call whose first outcome nobody can tell."""
+    """Refuses a repeated call whose first attempt has an unknown outcome."""
     return Refusal(
         409,
         "outcome-unknown",
@@ -189,7 +189,7 @@
 
 
 def key_reused() -> Refusal:
-    """Refuses a key that was used for a different call."""
+    """Refuses an idempotency key that was used for a different call."""
     return Refusal(
         422,
         "key-reused",
--- a/sesamecross/core/serving.py
+++ b/sesamecross/core/serving.py
@@ -1,13 +1,12 @@
-"""The records of the serving path: routes, services, upstreams, requests.
+"""Records of the serving path: routes, services, upstreams and requests.
 
-Why: the front door, the forwarder, the followers of the platform's store and
-the placement of models must agree on what a route, an upstream or a model
-is, whatever form the platform gives them on the wire. All records here are
-immutable and plain; `sesamecross.platform` fills them, `sesamecross.ops`
-decides by them.
+The HTTP front end, the forwarder, the followers of the platform's store and
+model placement share these records, independent of the platform's wire format.
+All records are immutable and hold no logic; `sesamecross.platform` creates
+them and `sesamecross.ops` makes decisions from them.
 
 Times are in seconds as floats, sizes of weights in megabytes (10**6 bytes)
-as the platform counts them. Field names bear the unit.
+as on the platform. Field names include the unit.
 """
 
 from collections.abc import Mapping
@@ -16,12 +15,13 @@
 
 
 class RouteKind(enum.Enum):
-    """What a route's requests allow.
+    """Delivery semantics of a route's requests.
 
     Attributes:
       IDEMPOTENT: May run more than once.
-      ONCE: Runs at most once for each attempt of a caller.
-      STREAM: Answers with events; as `ONCE` unless the route is resumable.
+      AT_MOST_ONCE: Runs at most once for each attempt of a caller.
+      STREAM: Answered with a stream of events; treated as `AT_MOST_ONCE`
+        unless the route is resumable.
     """
 
     IDEMPOTENT = "idempotent"
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """A service that a route sends to, and its share of the requests."""
+    """A service that a route forwards to, and its share of the requests."""
 
     service: str
     weight: float
@@ -39,17 +39,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Which requests go to which services, and under which promise.
+    """Which requests go to which services, and with which objectives.
 
     Attributes:
       path_prefix: Begins and ends with a slash.
-      urgency: 0 is the most urgent.
+      urgency: Priority; 0 is the most urgent.
       max_upstreams: How many upstreams may run one attempt of a caller.
-      timeout_s: The longest that a caller may be kept waiting.
-      objective_s: Within which an answer (a stream's first event) is on
-        time; 0 where the route names none.
-      gap_s: The longest pause between events of a stream on time, or 0.
-      is_resumable: A stream may go on at another upstream after its last
+      timeout_s: The longest time that a caller may be kept waiting.
+      objective_s: Latency objective for an answer or a stream's first event;
+        0 if the route has none.
+      gap_s: Objective for the longest pause between events of a stream, or 0.
+      is_resumable: A stream can continue at another upstream after its last
         event id.
       is_model_call: Requests name a model and list the parts of their
         prompt.
@@ -70,7 +70,7 @@
 
     @property
     def is_retry_safe(self) -> bool:
-        """Whether a request that may have run may be sent again."""
+        """Whether a request that may have run can be sent again."""
         if self.kind is RouteKind.STREAM:
             return self.is_resumable
         return self.kind is RouteKind.IDEMPOTENT
@@ -81,10 +81,10 @@
     """A model that the engines of a service can load.
 
     Attributes:
-      store_load_s: A load from the weight store, alone under way.
-      disk_load_s: A load from the upstream's own disk.
-      memory_load_s: A load from the upstream's main memory.
-      adapters: How many adapters there are, named a1, a2 and so on.
+      store_load_s: Load time from the weight store without other loads.
+      disk_load_s: Load time from the upstream's own disk.
+      memory_load_s: Load time from the upstream's main memory.
+      adapters: Number of adapters, which are named a1, a2 and so on.
     """
 
     name: str
@@ -98,14 +98,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """What the engines of a service are like.
+    """Capacity of the engines of a service.
 
     Attributes:
-      slots: Requests in one batch.
-      kv_tokens: Tokens that fit the memory of running and cached prompts.
-      weights_mb: Room for models and adapters together.
-      store_loads_per_s: Loads from the weight store, over all engines.
-      tokens_per_event: Tokens in one event of a stream, at most.
+      slots: Largest number of requests in a batch.
+      kv_tokens: Capacity of the KV cache for running and cached prompts.
+      weights_mb: Memory for models and adapters together.
+      store_loads_per_s: Rate limit for loads from the weight store, over all
+        engines.
+      tokens_per_event: Largest number of tokens in an event of a stream.
     """
 
     slots: int
@@ -119,10 +120,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """What answers requests: model engines, or a plain service.
+    """A group of upstreams: model engines, or a plain service.
 
     Attributes:
-      max_connections: What one upstream accepts from all instances.
+      max_connections: Connections that one upstream accepts from all
+        instances together.
       engine: None for a plain service.
     """
 
@@ -134,7 +136,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on the size of callers' requests, and on slow or idle callers."""
 
     head_bytes: int = 16_384
     body_bytes: int = 4 * 1024 * 1024
@@ -144,7 +146,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """One version of what operators declare. Versions only go up."""
+    """One version of the operators' configuration. Versions only increase."""
 
     version: int
     routes: tuple[Route, ...]
@@ -162,7 +164,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WeightCopies:
-    """Weights that an engine keeps beside those that it serves."""
+    """Copies of weights that an engine keeps in main memory or on disk."""
 
     in_memory: frozenset[str] = frozenset()
     on_disk: frozenset[str] = frozenset()
@@ -170,14 +172,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Upstream:
-    """One life of an upstream, as it registers itself.
+    """One incarnation of an upstream, as it registered itself.
 
     Attributes:
-      instance_id: Changes with most starts, but not with all.
+      instance_id: Changes at most restarts, but not at all of them.
       address: IP and port.
-      born_ms: Wall clock of its start by its own word; 0 if it says none.
-        Together with `instance_id` it tells one life from the next.
-      leaves_in_s: Time until it is gone, where it said so.
+      born_ms: Wall-clock start time as reported by the upstream; 0 if unknown.
+        Together with `instance_id` it identifies the incarnation.
+      remaining_s: Time until it terminates, if it has announced that.
     """
 
     instance_id: str
@@ -194,16 +196,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine answered when asked for its state.
+    """An engine's report of its state.
 
     The figures are some hundred ms old when they arrive.
 
     Attributes:
-      born_ms: Which life of the engine this is; 0 if it does not say.
-      orders: Orders accepted since its start.
+      born_ms: Start time of the engine's incarnation; 0 if unknown.
+      orders: Number of orders accepted since its start.
       is_busy: Whether an order is being carried out.
-      arriving_adapters: MODEL/ADAPTER names in transit.
-      kv_used: Tokens in memory that can't be given up.
+      loading_adapters: MODEL/ADAPTER names of adapters being loaded.
+      kv_used: Tokens in the KV cache that can't be evicted.
     """
 
     born_ms: int
@@ -220,7 +222,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt that other requests may share."""
+    """A part of a prompt that other requests may share (prefix caching)."""
 
     part_id: str
     tokens: int
@@ -228,12 +230,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelCall:
-    """What a request to a model says of itself.
+    """The model-related headers of a request.
 
     Attributes:
       adapter: Empty for the model itself.
-      parts: The prompt's parts in order; the last one is the request's own
-        or its session's.
+      parts: The prompt's parts in order; the last one belongs to the request
+        alone or to its session.
     """
 
     model: str
@@ -244,7 +246,7 @@
 
     @property
     def target(self) -> str:
-        """The model, or the model and its adapter behind a slash."""
+        """MODEL or MODEL/ADAPTER."""
         return f"{self.model}/{self.adapter}" if self.adapter else self.model
 
 
@@ -253,15 +255,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """A whole request of a caller.
+    """A complete request of a caller.
 
     Attributes:
       path: As sent, with the query.
       request_id: The caller's id of this attempt; empty if it sent none.
-      deadline_s: How long the caller will wait, from the arrival; None if it
-        did not say.
-      last_event_id: Where a caller resumes a stream, or empty.
-      call: Set where the request names a model.
+      deadline_s: How long the caller will wait from the request's arrival;
+        None if it did not say.
+      last_event_id: Event after which a caller resumes a stream, or empty.
+      call: Set if the request names a model.
     """
 
     method: bytes
@@ -277,28 +279,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bounds:
-    """Times and shares within which the system has to act.
+    """Time limits and budgets that the system has to respect.
 
     Attributes:
-      drain_s: From the store's word that an upstream leaves to the last new
-        request sent there.
-      grace_s: From the signal to stop to the kill.
-      apply_s: From the store's word on a configuration until it is in force.
-      retry_share, retry_extra, retry_window_s: Over all instances, sends
-        beyond the first of each request may be the share of the requests in
-        a window, and the extra.
-      lease_s: How far apart the orders of two instances to one upstream must
-        be.
-      loads_window_s, loads_overage: Over all upstreams, loads from the
-        weight store that begin in a window.
-      address_reuse_s: After which an address may belong to another upstream.
-      checks_fencing: Whether upstreams refuse orders with an older fencing
+      drain_s: From the store's notice that an upstream is leaving to the last
+        new request sent there.
+      grace_s: From the stop signal to the kill.
+      config_apply_s: From the store's publication of a configuration until it
+        is in force.
+      retry_share, retry_extra, retry_window_s: Retry budget over all
+        instances. In a window, sends beyond the first of each request may be
+        `retry_share` of the requests plus `retry_extra`.
+      lease_s: Least time between the orders of two instances to one upstream.
+      loads_window_s, loads_overage: Limit on loads from the weight store that
+        begin in a window, over all upstreams.
+      address_reuse_s: Time after which an address may belong to another
+        upstream.
+      checks_fencing: Whether upstreams reject orders with an older fencing
         token.
     """
 
     drain_s: float = 2.5
     grace_s: float = 8.0
-    apply_s: float = 2.5
+    config_apply_s: float = 2.5
     retry_share: float = 0.2
     retry_extra: float = 50.0
     retry_window_s: float = 10.0
@@ -311,12 +314,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Instance:
-    """Where a gateway runs and whom it talks to, by its settings.
+    """Where a gateway runs and whom it talks to, from its settings.
 
     Attributes:
-      ports: The internal ports, free on every instance.
-      regions: Region by zone, of the whole deployment.
-      heartbeat_s: How often upstreams register themselves anew.
+      ports: The internal ports, which are free on every instance.
+      regions: Region by zone, for the whole deployment.
+      heartbeat_s: Interval at which upstreams renew their registration.
     """
 
     name: str
@@ -337,12 +340,12 @@
     """One order to an engine.
 
     Attributes:
-      instance_id: The life of the upstream that the order is meant for.
-      adapter: Empty where the order is about the model itself.
-      after_orders: How many orders the engine must have accepted before; it
-        refuses this one otherwise. So of two orders with one number at most
-        one is ever carried out, however late they arrive.
-      fence: Grows with each change of the lease's holder.
+      instance_id: The upstream's instance id that the order is meant for.
+      adapter: Empty if the order is about the model itself.
+      expected_order_count: How many orders the engine must have accepted so
+        far; it rejects this one otherwise. So of two orders with the same
+        count at most one is ever carried out, however late they arrive.
+      fence: Fencing token; increases with each change of the lease holder.
     """
 
     instance_id: str
@@ -356,17 +359,18 @@
 
 
 class OrderAnswer(enum.Enum):
-    """What an engine said of an order.
+    """An engine's answer to an order.
 
     Attributes:
-      ACCEPTED: It is being carried out; the count of orders went up.
-      ALREADY: It holds already, and does not count; or it was an unload that
-        was carried out at once, and counts. The answer does not say which.
-      CONFLICT: Another order is under way, or the count is another.
-      FENCED: Another holder's order was seen.
-      OTHER_LIFE: Another upstream, or another life, has the address.
+      ACCEPTED: It is being carried out; the order count has increased.
+      ALREADY_DONE: Either nothing had to be done, and the order count is
+        unchanged; or it was an unload that was carried out at once, and the
+        count has increased. The answer does not tell which.
+      CONFLICT: Another order is in progress, or the order count differs.
+      FENCED: The engine has seen an order of a newer holder.
+      OTHER_INCARNATION: Another upstream or incarnation has the address.
       REFUSED: Any other answer; the order is not carried out.
-      UNKNOWN: No answer: it may be carried out now, later or never.
+      UNKNOWN: No answer; the order may be carried out now, later or never.
     """
 
     ACCEPTED = "accepted"
