--- a/sesamecross/platform/__init__.py
+++ b/sesamecross/platform/__init__.py
@@ -1,6 +1,6 @@
-"""The users' platform: its wire forms, decoded once into the project's records.
+"""The users' platform: decoders and encoders of its wire formats.
 
-Why: the platform has names and forms of its own, some of which mislead. They
-stand in this package and nowhere else. It translates only: what is decided,
-remembered or recovered belongs to the packages that it feeds.
+The platform's own names, some of which are misleading, appear in this package
+only. It only translates; decisions, state and recovery belong to the packages
+that use it.
 """
--- a/sesamecross/platform/catalog.py
+++ b/sesamecross/platform/catalog.py
@@ -1,8 +1,8 @@
 """Decodes what operators and upstreams write to the platform's store.
 
-Why: both come as JSON records in keyed topics. A record from another writer,
-with fields missing or of another type, must name nothing and hurt nothing:
-each decoder returns None for it, and the caller logs what it left out.
+Both are JSON records in keyed topics. A record from an unknown writer may lack
+fields or have fields of another type and must do no harm: the decoders return
+None for it, and their users log the records that they skip.
 """
 
 import msgspec
@@ -10,7 +10,7 @@
 from sesamecross.core import serving
 from sesamecross.platform import untrusted
 
-MS = 0.001
+SECONDS_PER_MS = 0.001
 
 
 class _WireTarget(msgspec.Struct, frozen=True):
@@ -24,15 +24,15 @@
     path_prefix: str
     kind: str
     timeout_ms: float
-    # The time to a whole answer's first byte or a stream's first event.
+    # Time to the first byte of a whole answer or a stream's first event.
     target_latency_ms: float = 0.0
-    # 0 is the most urgent, also where a class's name suggests otherwise.
+    # 0 is the most urgent, even if a class's name suggests otherwise.
     priority: untrusted.Number = 5
     service: str | None = None
     traffic_split: list[_WireTarget] = []
-    # How many upstreams, not how many tries.
+    # Limits the number of upstreams, not of attempts.
     max_attempts: untrusted.Number = 1
-    # Only says that requests name a model and the parts of their prompt.
+    # Only means that requests name a model and the parts of their prompt.
     session_affinity: bool = False
     resumable: bool = False
     target_gap_ms: float = 0.0
@@ -54,7 +54,7 @@
     weights_mb: float = 0.0
     adapter_slots: untrusted.Number = 0
     loads_per_s: float = 1.0
-    # Tokens in one event.
+    # Tokens per event.
     stride: untrusted.Number = 1
     models: list[_WireModel] = []
 
@@ -81,22 +81,22 @@
 
 
 class WireResidentModel(msgspec.Struct, frozen=True):
-    """A model in the lists of an upstream's entry and of its report."""
+    """A model as listed in an upstream's entry and in its report."""
 
     name: str
     adapters: list[str] = []
 
 
 class WireCopies(msgspec.Struct, frozen=True, rename="camel"):
-    """Where an engine keeps copies of weights that it does not serve."""
+    """Copies of weights that an engine keeps without serving them."""
 
     in_memory: list[str] = []
     on_disk: list[str] = []
 
 
 class _WireUpstream(msgspec.Struct, frozen=True, rename="camel"):
-    # The wire's `sequence` counts the upstream's own writes here, and not
-    # the orders as it does in a report, so it is left out.
+    # The wire field `sequence` is not decoded: here it counts the upstream's
+    # own writes, not its accepted orders as in a report.
     service: str
     address: str
     zone: str
@@ -105,11 +105,11 @@
     born: untrusted.NonNegative = 0
     models: list[WireResidentModel] = []
     available: WireCopies = WireCopies()
-    # Set where the upstream is taken away at short notice.
+    # Set if the upstream is being removed at short notice.
     remaining_ms: float | None = None
 
 
-_KINDS = {
+_ROUTE_KINDS = {
     "safe": serving.RouteKind.IDEMPOTENT,
     "unsafe": serving.RouteKind.AT_MOST_ONCE,
     "streaming": serving.RouteKind.STREAM,
@@ -122,30 +122,30 @@
 
 
 def configuration(value: bytes) -> serving.Configuration | None:
-    """Returns a configuration, or None where the bytes hold none."""
+    """Decodes a configuration; returns None if it is invalid."""
     try:
         wire = untrusted.decode(_configuration_decoder, value)
         return serving.Configuration(
             wire.version,
             tuple(_route(route) for route in wire.routes),
-            {one.name: _service(one) for one in wire.services},
+            {service.name: _service(service) for service in wire.services},
             serving.CallerLimits(
                 wire.limits.max_header_bytes,
                 wire.limits.max_body_bytes,
-                wire.limits.header_timeout_ms * MS,
-                wire.limits.idle_timeout_ms * MS,
+                wire.limits.header_timeout_ms * SECONDS_PER_MS,
+                wire.limits.idle_timeout_ms * SECONDS_PER_MS,
             ),
         )
-    except (untrusted.NotUnderstood, KeyError):
-        # The key is a kind of route that is not known.
+    except (untrusted.DecodeError, KeyError):
+        # The KeyError is an unknown kind of route.
         return None
 
 
 def _route(wire: _WireRoute) -> serving.Route:
     targets = tuple(
-        serving.Target(one.service, one.weight)
-        for one in wire.traffic_split
-        if one.weight > 0
+        serving.Target(target.service, target.weight)
+        for target in wire.traffic_split
+        if target.weight > 0
     )
     if not targets and wire.service is not None:
         targets = (serving.Target(wire.service, 1.0),)
@@ -153,13 +153,13 @@
         wire.name,
         wire.hostname.lower(),
         wire.path_prefix,
-        _KINDS[wire.kind],
+        _ROUTE_KINDS[wire.kind],
         targets,
         wire.priority,
         wire.max_attempts,
-        wire.timeout_ms * MS,
-        wire.target_latency_ms * MS,
-        wire.target_gap_ms * MS,
+        wire.timeout_ms * SECONDS_PER_MS,
+        wire.target_latency_ms * SECONDS_PER_MS,
+        wire.target_gap_ms * SECONDS_PER_MS,
         wire.resumable,
         wire.session_affinity,
     )
@@ -176,16 +176,18 @@
 
 def _engine(wire: _WireEngine) -> serving.EngineSpec:
     models = {}
-    for one in wire.models:
-        disk_s = one.load_s if one.disk_load_s is None else one.disk_load_s
-        models[one.name] = serving.ModelSpec(
-            one.name,
-            one.weights_mb,
-            one.load_s,
+    for model in wire.models:
+        disk_s = (
+            model.load_s if model.disk_load_s is None else model.disk_load_s
+        )
+        models[model.name] = serving.ModelSpec(
+            model.name,
+            model.weights_mb,
+            model.load_s,
             disk_s,
-            disk_s if one.warm_s is None else one.warm_s,
-            one.adapters,
-            one.adapter_mb,
+            disk_s if model.warm_s is None else model.warm_s,
+            model.adapters,
+            model.adapter_mb,
         )
     return serving.EngineSpec(
         wire.slots,
@@ -199,10 +201,10 @@
 
 
 def upstream(instance_id: str, value: bytes) -> serving.Upstream | None:
-    """Returns an upstream's entry, or None where the bytes hold none."""
+    """Decodes an upstream's entry; returns None if it is invalid."""
     try:
         wire = untrusted.decode(_upstream_decoder, value)
-    except untrusted.NotUnderstood:
+    except untrusted.DecodeError:
         return None
     if wire.state not in (_READY, _DRAINING):
         return None
@@ -210,7 +212,7 @@
         return None
     remaining_s = None
     if wire.remaining_ms is not None:
-        remaining_s = wire.remaining_ms * MS
+        remaining_s = wire.remaining_ms * SECONDS_PER_MS
     return serving.Upstream(
         instance_id,
         wire.service,
@@ -219,27 +221,27 @@
         wire.slots,
         wire.state == _DRAINING,
         wire.born,
-        held_models(wire.models),
-        copies(wire.available),
+        resident_models(wire.models),
+        weight_copies(wire.available),
         remaining_s,
     )
 
 
-def held_models(
+def resident_models(
     wire: list[WireResidentModel],
 ) -> tuple[serving.ResidentModel, ...]:
-    """Returns the models of a wire list, without adapters' versions."""
+    """Converts a list of models, dropping the versions of adapters."""
     return tuple(
         serving.ResidentModel(
-            one.name,
-            frozenset(name.partition("@")[0] for name in one.adapters),
+            model.name,
+            frozenset(name.partition("@")[0] for name in model.adapters),
         )
-        for one in wire
+        for model in wire
     )
 
 
-def copies(wire: WireCopies) -> serving.WeightCopies:
-    """Returns where copies of weights lie."""
+def weight_copies(wire: WireCopies) -> serving.WeightCopies:
+    """Converts the locations of copies of weights."""
     return serving.WeightCopies(
         frozenset(wire.in_memory), frozenset(wire.on_disk)
     )
--- a/sesamecross/platform/catalog_test.py
+++ b/sesamecross/platform/catalog_test.py
@@ -1,4 +1,4 @@
-"""Tests of records from the store that somebody else wrote, or damaged."""
+"""Tests of records from the store that are damaged or of unknown writers."""
 
 import math
 
@@ -43,9 +43,9 @@
     "models": [{"name": "m", "adapters": ["a1@2"]}],
 }
 TOO_LARGE = 2**64
-DEEP = b'{"x":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
+DEEPLY_NESTED = b'{"x":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
 
-# Values that a field may get from another writer.
+# Values that a field may have in a record of another writer.
 ODD = st.recursive(
     st.one_of(
         st.none(),
@@ -65,36 +65,38 @@
 
 
 @st.composite
-def damaged(draw, sound):
-    """A sound record in which some fields are others, missing or added."""
-    if isinstance(sound, dict):
-        found = {}
-        for key, value in sound.items():
-            fate = draw(st.sampled_from(("keep", "keep", "go on", "odd", "no")))
-            if fate == "keep":
-                found[key] = value
-            elif fate == "go on":
-                found[key] = draw(damaged(value))
-            elif fate == "odd":
-                found[key] = draw(ODD)
-        return found
-    if isinstance(sound, list):
-        return [draw(damaged(one)) for one in sound] * draw(st.integers(0, 3))
+def damaged(draw, valid):
+    """A valid record in which some fields are changed or missing."""
+    if isinstance(valid, dict):
+        fields = {}
+        for key, value in valid.items():
+            change = draw(
+                st.sampled_from(("keep", "keep", "damage", "odd", "no"))
+            )
+            if change == "keep":
+                fields[key] = value
+            elif change == "damage":
+                fields[key] = draw(damaged(value))
+            elif change == "odd":
+                fields[key] = draw(ODD)
+        return fields
+    if isinstance(valid, list):
+        return [draw(damaged(item)) for item in valid] * draw(st.integers(0, 3))
     return draw(ODD)
 
 
 @st.composite
-def cut(draw, sound):
-    """The bytes of a sound record, cut and with one byte that is another."""
-    data = bytearray(msgspec.json.encode(sound))
+def cut(draw, valid):
+    """The bytes of a valid record, truncated and with one byte changed."""
+    data = bytearray(msgspec.json.encode(valid))
     data[draw(st.integers(0, len(data) - 1))] = draw(st.integers(0, 255))
     return bytes(data[: draw(st.integers(0, len(data)))])
 
 
-def records(sound):
-    """Records of all kinds: whole, damaged, cut, and no record at all."""
+def records(valid):
+    """Records of all kinds: damaged, truncated, and random bytes."""
     return st.one_of(
-        damaged(sound).map(_encode), cut(sound), st.binary(max_size=20)
+        damaged(valid).map(_encode), cut(valid), st.binary(max_size=20)
     )
 
 
@@ -102,7 +104,7 @@
     return msgspec.json.encode(value)
 
 
-def test_sound_records_are_taken():
+def test_valid_records_are_decoded():
     configuration = catalog.configuration(_encode(CONFIGURATION))
     assert configuration.version == 3
     assert configuration.routes[0].host == "h.example"
@@ -112,11 +114,11 @@
     assert upstream.models[0].adapters == {"a1"}
 
 
-POISON_CONFIGURATIONS = [
+INVALID_CONFIGURATIONS = [
     pytest.param(b"", id="empty"),
     pytest.param(b"[]", id="a list"),
     pytest.param(b"\xff\xfe", id="no text"),
-    pytest.param(DEEP, id="nested deeply"),
+    pytest.param(DEEPLY_NESTED, id="nested deeply"),
     pytest.param(_encode(CONFIGURATION | {"version": TOO_LARGE}), id="version"),
     pytest.param(_encode(CONFIGURATION | {"version": -1}), id="negative"),
     pytest.param(
@@ -130,22 +132,23 @@
 ]
 
 
-@pytest.mark.parametrize("value", POISON_CONFIGURATIONS)
-def test_a_configuration_that_cannot_be_held_is_none(value):
-    """Instances ended 28 s after somebody wrote one damaged record.
+@pytest.mark.parametrize("value", INVALID_CONFIGURATIONS)
+def test_an_invalid_configuration_is_none(value):
+    """Guards against one damaged record that ends all instances.
 
-    Its version did not fit the instances' own messages, and what sends these
-    failed until it was given up. One nested deeply failed the reader, which
-    went on behind it; eleven in half a minute ended the process as well.
+    A version too large for the instances' own messages made their sender fail
+    until the supervisor gave up, which ended instances 28 s after the record
+    was written. A deeply nested record made the reader fail, which then
+    continued after it; eleven of these in half a minute also ended the process.
     """
     assert catalog.configuration(value) is None
 
 
-POISON_UPSTREAMS = [
+INVALID_UPSTREAMS = [
     pytest.param(b"", id="empty"),
     pytest.param(b"[]", id="a list"),
     pytest.param(b"\xff\xfe", id="no text"),
-    pytest.param(DEEP, id="nested deeply"),
+    pytest.param(DEEPLY_NESTED, id="nested deeply"),
     *(
         pytest.param(_encode(UPSTREAM | change), id=str(change))
         for change in (
@@ -167,33 +170,33 @@
 ]
 
 
-@pytest.mark.parametrize("value", POISON_UPSTREAMS)
-def test_an_upstream_that_cannot_be_used_is_none(value):
-    """Requests went to an entry whose address is none, and failed there.
+@pytest.mark.parametrize("value", INVALID_UPSTREAMS)
+def test_an_invalid_upstream_entry_is_none(value):
+    """Guards against sending requests to an entry without a valid address.
 
-    Another writer's entry had a port that only looks like a number, or no
-    slots. It names no upstream to use; the others hold.
+    An entry of another writer had a port that only looks like a number, or no
+    slots. It is skipped; the other entries stay valid.
     """
     assert catalog.upstream("u1", value) is None
 
 
 @settings(max_examples=500, deadline=None, derandomize=True)
 @given(value=records(CONFIGURATION))
-def test_no_configuration_makes_the_decoder_fail(value):
-    """One damaged configuration must name nothing and hurt nothing."""
-    found = catalog.configuration(value)
-    if found is not None:
-        assert 0 <= found.version < 2**63
-        for route in found.routes:
+def test_no_configuration_makes_the_decoder_raise(value):
+    """A damaged configuration is skipped or decodes to values in range."""
+    configuration = catalog.configuration(value)
+    if configuration is not None:
+        assert 0 <= configuration.version < 2**63
+        for route in configuration.routes:
             assert math.isfinite(route.timeout_s)
 
 
 @settings(max_examples=500, deadline=None, derandomize=True)
 @given(value=records(UPSTREAM))
-def test_no_entry_makes_the_decoder_fail(value):
-    """One damaged entry must name nothing and hurt nothing."""
-    found = catalog.upstream("u1", value)
-    if found is not None:
-        assert found.slots >= 1
-        assert 0 <= found.born_ms < 2**63
-        assert found.address.rpartition(":")[2].isdecimal()
+def test_no_entry_makes_the_decoder_raise(value):
+    """A damaged entry is skipped or decodes to values in range."""
+    upstream = catalog.upstream("u1", value)
+    if upstream is not None:
+        assert upstream.slots >= 1
+        assert 0 <= upstream.born_ms < 2**63
+        assert upstream.address.rpartition(":")[2].isdecimal()
--- a/sesamecross/platform/engine_api.py
+++ b/sesamecross/platform/engine_api.py
@@ -1,8 +1,6 @@
-"""The engines' own calls: reports and orders.
+"""Wire format of the engines' control API: reports and orders.
 
-Why: the one place that knows how an engine is asked for its state and told
-to load or unload. Which order is given, when and by whom is decided in
-`sesamecross.ops`.
+Which orders are given, when and by whom is decided in `sesamecross.ops`.
 """
 
 import msgspec
@@ -13,16 +11,16 @@
 
 REPORT_PATH = b"/v1/report"
 ORDER_PATH = b"/v1/order"
-JSON_TYPE = b"application/json"
+JSON_CONTENT_TYPE = b"application/json"
 
 
 class _WireReport(msgspec.Struct, frozen=True, rename="camel"):
     born: untrusted.Number = 0
     models: list[catalog.WireResidentModel] = []
     busy: bool = False
-    # Orders accepted since the engine's start.
+    # Number of orders accepted since the engine's start.
     sequence: untrusted.Number = 0
-    # MODEL/ADAPTER@VERSION of adapters in transit.
+    # MODEL/ADAPTER@VERSION of adapters being loaded.
     pending: list[str] = []
     available: catalog.WireCopies = catalog.WireCopies()
     queued: untrusted.Number = 0
@@ -35,18 +33,18 @@
 
 
 def report(body: bytes) -> serving.EngineReport | None:
-    """Returns an engine's report, or None where the body holds none."""
+    """Decodes an engine's report; returns None if it is invalid."""
     try:
         wire = untrusted.decode(_report_decoder, body)
-    except untrusted.NotUnderstood:
+    except untrusted.DecodeError:
         return None
     return serving.EngineReport(
         wire.born,
         wire.sequence,
         wire.busy,
-        catalog.held_models(wire.models),
+        catalog.resident_models(wire.models),
         frozenset(name.partition("@")[0] for name in wire.pending),
-        catalog.copies(wire.available),
+        catalog.weight_copies(wire.available),
         wire.queued,
         wire.in_flight,
         wire.kv_used,
@@ -54,8 +52,8 @@
     )
 
 
-def order_body(order: serving.EngineOrder) -> bytes:
-    """Returns the body of an order."""
+def encode_order(order: serving.EngineOrder) -> bytes:
+    """Returns the request body of an order."""
     fields: dict[str, object] = {
         "operation": "load" if order.loads else "unload",
         "model": order.model,
@@ -68,7 +66,7 @@
     return msgspec.json.encode(fields)
 
 
-_ANSWERS = {
+_ANSWER_BY_STATUS = {
     202: serving.OrderAnswer.ACCEPTED,
     200: serving.OrderAnswer.ALREADY_DONE,
     409: serving.OrderAnswer.CONFLICT,
@@ -78,5 +76,5 @@
 
 
 def parse_order_answer(status: int) -> serving.OrderAnswer:
-    """Returns what an engine's status says of an order."""
-    return _ANSWERS.get(status, serving.OrderAnswer.REFUSED)
+    """Maps the status of an engine's response to an order answer."""
+    return _ANSWER_BY_STATUS.get(status, serving.OrderAnswer.REFUSED)
--- a/sesamecross/platform/engine_api_test.py
+++ b/sesamecross/platform/engine_api_test.py
@@ -1,20 +1,21 @@
-"""Tests of engines' reports that can't be held."""
+"""Tests of decoding engines' reports."""
 
 import pytest
 
 from sesamecross.platform import engine_api
 
-DEEP = b'{"x":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
+DEEPLY_NESTED = b'{"x":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
 
 
 @pytest.mark.parametrize(
-    "body", [DEEP, b"\xff", b"", b"[]", b'{"sequence":18446744073709551616}']
+    "body",
+    [DEEPLY_NESTED, b"\xff", b"", b"[]", b'{"sequence":18446744073709551616}'],
 )
-def test_a_report_that_cannot_be_held_is_none(body):
-    """The giver of orders failed on one engine's report."""
+def test_an_invalid_report_is_none(body):
+    """Guards against an engine's report that crashes the sender of orders."""
     assert engine_api.report(body) is None
 
 
-def test_a_report_says_what_it_holds():
+def test_a_valid_report_is_decoded():
     report = engine_api.report(b'{"sequence":3,"kvUsed":10,"other":[[]]}')
     assert (report.orders, report.kv_used) == (3, 10)
--- a/sesamecross/platform/headers.py
+++ b/sesamecross/platform/headers.py
@@ -1,8 +1,7 @@
-"""The platform's headers on requests and answers.
+"""The platform's headers on requests and responses.
 
-Why: callers and upstreams speak in headers whose names are the platform's.
-They are read once into the project's records here, and written from them.
-Names are compared in lower case.
+Parses them into the gateway's records, and creates them from those records.
+Header names are in lower case.
 """
 
 from collections.abc import Iterable
@@ -11,20 +10,20 @@
 from sesamecross.ports import http_codec
 
 _REQUEST_ID = b"request-id"
-_DEADLINE = b"deadline-ms"
-# The prompt's tokens and the most tokens of the answer, not what was used.
-_TOKENS = b"token-usage"
+_DEADLINE_MS = b"deadline-ms"
+# The prompt's tokens and the limit on the answer's tokens, not those used.
+_TOKEN_USAGE = b"token-usage"
 _MODEL = b"model"
-_PARTS = b"prompt-prefix"
+_PROMPT_PREFIX = b"prompt-prefix"
 _LAST_EVENT_ID = b"last-event-id"
 _SIGNATURE = b"response-signature"
 _NOT_EXECUTED = b"not-executed"
 _INSTANCE_ID = b"instance-id"
 _EXPECTED_INSTANCE = b"expected-instance"
-_URGENCY = b"request-priority"
-_MISDIRECTED = 421
+_REQUEST_PRIORITY = b"request-priority"
+_MISDIRECTED_STATUS = 421
 
-# Concern one connection only (RFC 9110) and are never passed on.
+# Apply to a single connection (RFC 9110) and are never forwarded.
 _CONNECTION_HEADERS = frozenset(
     (
         b"connection",
@@ -40,13 +39,13 @@
         b"expect",
     )
 )
-# Set by this system alone. A caller who sent one could reserve memory or
-# give its request a rank that operators did not.
+# Only the gateway may set these. With them, a caller could reserve engine
+# memory or give its request a priority that operators did not grant.
 _SYSTEM_HEADERS = frozenset(
     (
-        _DEADLINE,
+        _DEADLINE_MS,
         _EXPECTED_INSTANCE,
-        _URGENCY,
+        _REQUEST_PRIORITY,
         b"expected-version",
         b"hold",
         b"pin-ms",
@@ -61,17 +60,17 @@
 def parse_request_head(
     headers: Iterable[serving.Header],
 ) -> http_codec.RequestHead:
-    """Reads a caller's headers; names are in lower case."""
-    known = dict(headers)
+    """Parses a caller's request headers; names are in lower case."""
+    by_name = dict(headers)
     return http_codec.RequestHead(
-        known.get(_REQUEST_ID, b"").decode("latin-1"),
-        _seconds(known.get(_DEADLINE)),
-        known.get(_LAST_EVENT_ID, b"").decode("latin-1"),
-        _call(known),
+        by_name.get(_REQUEST_ID, b"").decode("latin-1"),
+        _parse_deadline_s(by_name.get(_DEADLINE_MS)),
+        by_name.get(_LAST_EVENT_ID, b"").decode("latin-1"),
+        _parse_model_call(by_name),
     )
 
 
-def _seconds(value: bytes | None) -> float | None:
+def _parse_deadline_s(value: bytes | None) -> float | None:
     if value is None:
         return None
     try:
@@ -80,94 +79,100 @@
         return None
 
 
-def _call(known: dict[bytes, bytes]) -> serving.ModelCall | None:
-    name = known.get(_MODEL, b"").decode("latin-1")
+def _parse_model_call(by_name: dict[bytes, bytes]) -> serving.ModelCall | None:
+    name = by_name.get(_MODEL, b"").decode("latin-1")
     if not name:
         return None
     model, _, adapter = name.partition("/")
-    prompt, _, output = known.get(_TOKENS, b"").partition(b",")
+    prompt, _, output = by_name.get(_TOKEN_USAGE, b"").partition(b",")
     return serving.ModelCall(
         model,
         adapter,
-        _whole(prompt),
-        _whole(output),
-        _parts(known.get(_PARTS, b"")),
+        _parse_count(prompt),
+        _parse_count(output),
+        _parse_prompt_parts(by_name.get(_PROMPT_PREFIX, b"")),
     )
 
 
-def _whole(value: bytes) -> int:
+def _parse_count(value: bytes) -> int:
     text = value.strip()
     return int(text) if text.isdigit() else 0
 
 
-def _parts(value: bytes) -> tuple[serving.PromptPart, ...]:
+def _parse_prompt_parts(value: bytes) -> tuple[serving.PromptPart, ...]:
     parts = []
     for item in value.split(b","):
         part_id, colon, tokens = item.strip().partition(b":")
         if colon:
             name = part_id.decode("latin-1")
-            parts.append(serving.PromptPart(name, _whole(tokens)))
+            parts.append(serving.PromptPart(name, _parse_count(tokens)))
     return tuple(parts)
 
 
 def upstream_request_headers(
-    request: serving.Request, passing: http_codec.ForwardContext
+    request: serving.Request, context: http_codec.ForwardContext
 ) -> list[serving.Header]:
-    """Returns the headers under which a request is passed on."""
-    dropped = _NOT_FORWARDED | _listed_in_connection(request.headers)
-    out = [one for one in request.headers if one[0] not in dropped]
-    last_event_id = passing.last_event_id
+    """Returns the headers for forwarding a request to an upstream."""
+    dropped = _NOT_FORWARDED | _connection_options(request.headers)
+    headers = [header for header in request.headers if header[0] not in dropped]
+    last_event_id = context.last_event_id
     if last_event_id and last_event_id != request.last_event_id:
-        out = [one for one in out if one[0] != _LAST_EVENT_ID]
-        out.append((_LAST_EVENT_ID, last_event_id.encode("latin-1")))
-    out.append((_DEADLINE, b"%d" % max(1, int(passing.left_s * 1000))))
-    out.extend(expecting(passing.instance_id))
-    if passing.urgency is not None:
-        out.append((_URGENCY, b"%d" % min(9, max(0, passing.urgency))))
-    return out
+        headers = [header for header in headers if header[0] != _LAST_EVENT_ID]
+        headers.append((_LAST_EVENT_ID, last_event_id.encode("latin-1")))
+    headers.append((_DEADLINE_MS, b"%d" % max(1, int(context.left_s * 1000))))
+    headers.extend(expected_instance_header(context.instance_id))
+    if context.urgency is not None:
+        headers.append(
+            (_REQUEST_PRIORITY, b"%d" % min(9, max(0, context.urgency)))
+        )
+    return headers
 
 
-def _listed_in_connection(
+def _connection_options(
     headers: Iterable[serving.Header],
 ) -> frozenset[bytes]:
     names: set[bytes] = set()
     for name, value in headers:
         if name == b"connection":
-            names.update(one.strip().lower() for one in value.split(b","))
-    # What a caller lists here must not take away what tells its request
-    # from others.
-    return frozenset(names - {_REQUEST_ID, b"host", _MODEL, _TOKENS, _PARTS})
+            names.update(option.strip().lower() for option in value.split(b","))
+    # A caller must not be able to remove the headers that identify its
+    # request and what it asks for.
+    return frozenset(
+        names - {_REQUEST_ID, b"host", _MODEL, _TOKEN_USAGE, _PROMPT_PREFIX}
+    )
 
 
 def caller_response_headers(
     headers: Iterable[serving.Header],
 ) -> list[serving.Header]:
-    """Returns the headers of an upstream's answer that are passed on."""
-    return [one for one in headers if one[0] not in _CONNECTION_HEADERS]
+    """Returns the response headers that are forwarded to the caller."""
+    return [
+        header for header in headers if header[0] not in _CONNECTION_HEADERS
+    ]
 
 
 def parse_response_head(
     status: int, headers: Iterable[serving.Header]
 ) -> http_codec.ResponseHead:
-    """Reads the head of an upstream's answer."""
-    known = dict(headers)
-    is_misdirected = status == _MISDIRECTED
-    content_type = known.get(b"content-type", b"")
+    """Parses the head of an upstream's response."""
+    by_name = dict(headers)
+    is_misdirected = status == _MISDIRECTED_STATUS
+    content_type = by_name.get(b"content-type", b"")
     return http_codec.ResponseHead(
-        known.get(_REQUEST_ID, b"").decode("latin-1"),
-        bool(known.get(_SIGNATURE)),
-        is_misdirected or _NOT_EXECUTED in known,
+        by_name.get(_REQUEST_ID, b"").decode("latin-1"),
+        bool(by_name.get(_SIGNATURE)),
+        is_misdirected or _NOT_EXECUTED in by_name,
         is_misdirected,
-        b"content-encoding" in known,
+        b"content-encoding" in by_name,
         content_type.startswith(b"text/event-stream"),
-        known.get(_INSTANCE_ID, b"").decode("latin-1"),
+        by_name.get(_INSTANCE_ID, b"").decode("latin-1"),
     )
 
 
 def refusal(
     request_id: str, retry_after_s: float | None
 ) -> list[serving.Header]:
-    """Returns the headers of an answer of the system's own."""
+    """Returns the headers of a response that the gateway itself creates."""
     headers = []
     if request_id:
         headers.append((_REQUEST_ID, request_id.encode("latin-1")))
@@ -176,6 +181,6 @@
     return headers
 
 
-def expecting(instance_id: str) -> list[serving.Header]:
-    """Returns the header by which only one life of an upstream answers."""
+def expected_instance_header(instance_id: str) -> list[serving.Header]:
+    """Returns the header that restricts a request to one `instance_id`."""
     return [(_EXPECTED_INSTANCE, instance_id.encode("latin-1"))]
--- a/sesamecross/platform/program.py
+++ b/sesamecross/platform/program.py
@@ -1,4 +1,4 @@
-"""Puts the gateway on the users' platform."""
+"""Runs the gateway on the users' platform."""
 
 import functools
 import os
@@ -17,13 +17,13 @@
 from sesamecross.runtime import logs
 from sesamecross.runtime import signals
 
-# Named in deploy/system.toml too; not among the ports that the platform
-# hands out.
+# Also set in deploy/system.toml. Outside the range of ports that the platform
+# assigns.
 METRICS_PORT = 9464
 
 
 def adapter() -> app.PlatformAdapter:
-    """Returns the platform's forms and names."""
+    """Returns the codecs and names of the platform."""
     return app.PlatformAdapter(
         store_codec.StoreCodec(),
         http_codec.PlatformHttpCodec(),
@@ -41,8 +41,8 @@
     """Runs a gateway from the settings file that the platform names.
 
     Args:
-      log_level: The least that is logged.
-      inbox: Gets the process's signals.
+      log_level: The lowest level that is logged.
+      inbox: Receives the process's signals.
 
     Returns:
       The exit code.
@@ -51,7 +51,7 @@
     loaded = first_settings.read(
         functools.partial(settings.load, path),
         inbox,
-        # No file can come where none is named.
+        # Waiting for the file is useless if its path is not set.
         lambda _: bool(path),
     )
     if isinstance(loaded, Failure):
--- a/sesamecross/platform/program_test.py
+++ b/sesamecross/platform/program_test.py
@@ -16,7 +16,7 @@
 
 
 class _Started(Exception):
-    """The gateway has its settings and would begin its work."""
+    """Raised where the gateway has its settings and would start."""
 
 
 def _start(instance, *_):
@@ -32,10 +32,10 @@
 
 @pytest.mark.parametrize("texts", WRITTEN)
 def test_a_start_waits_until_its_file_is_written(tmp_path, monkeypatch, texts):
-    """An instance ended in the second in which its settings changed.
+    """Guards against exiting because the settings file is half written.
 
-    It started while its file was being written, read half of it, took that
-    for an operator's mistake, and ended with code 1.
+    An instance that started while its file was being written took the partial
+    file for an operator's mistake and exited with code 1.
     """
     path = tmp_path / "node.toml"
     pending = list(texts)
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("text", ["", WHOLE.replace("7395", "-1")])
-def test_a_file_that_stays_wrong_ends_the_start(
+def test_a_file_that_stays_invalid_ends_the_start(
     tmp_path, monkeypatch, capsys, text
 ):
     path = tmp_path / "node.toml"
@@ -72,8 +72,8 @@
     assert sum(slept_s) < 5
 
 
-def test_a_file_that_nobody_named_is_not_waited_for(monkeypatch, capsys):
-    """An operator waited three seconds to be told of a missing variable."""
+def test_an_unset_path_is_not_waited_for(monkeypatch, capsys):
+    """Guards against a 3 s wait before a missing variable is reported."""
     slept_s = []
     monkeypatch.setattr(time, "sleep", slept_s.append)
     monkeypatch.delenv(settings.BOOT_VARIABLE, raising=False)
--- a/sesamecross/platform/settings.py
+++ b/sesamecross/platform/settings.py
@@ -1,13 +1,12 @@
 """Decodes the settings file that the platform gives to each process.
 
-Why: a process learns its addresses, its availability zone and the bounds it
-is held to from this file alone. Fields that are not known are ignored, since
-the platform adds new ones; one that is missing or of another type is an
-error with its remedy, all of them in one message. So is a value without
-sense: a bound that is no number makes every comparison with it false, and
-ports that are no range leave nothing to listen on. What is only unusual is
-taken: a bound of zero belongs to a part of the rules that is not in force, and
-a process that refuses to start serves nobody.
+This file is the only source of a process's addresses, availability zone and
+required bounds. Unknown fields are ignored, since the platform adds new ones. A
+missing field or one of another type is an error with a remedy. So are values
+out of range, all of which are reported in one message: with NaN as a bound
+every comparison is false, and an empty range of ports leaves nothing to listen
+on. Unusual values are accepted: a bound of zero belongs to a rule that is not
+in force, and a process that refuses to start serves nobody.
 """
 
 import dataclasses
@@ -24,16 +23,16 @@
 from sesamecross.platform import untrusted
 
 BOOT_VARIABLE = "SESAMECROSS_BOOT"
-MS = 0.001
-# No time of these settings is longer than a day; the platform's are seconds.
-LONGEST_S = 86_400.0
-# Far above what a deployment counts, and exact as a float.
-LARGEST_COUNT = 1e9
-# A name is part of a key of the store, which has 255 bytes.
-LONGEST_NAME_BYTES = 200
-# Four times the longest template that the platform fills in. The parser takes
-# 1.5 MB a second, so that callers wait 0.2 s for the largest file at the most.
-LARGEST_FILE_BYTES = 256 * 1024
+SECONDS_PER_MS = 0.001
+# Longest accepted duration; the platform's own values are some seconds.
+MAX_DURATION_S = 86_400.0
+# Far above the counts of any deployment, and exact as a float.
+MAX_COUNT = 1e9
+# A name is part of a store key, which is limited to 255 bytes.
+MAX_NAME_BYTES = 200
+# Four times the platform's longest template. The parser handles 1.5 MB/s, so
+# the largest file delays callers by at most 0.2 s.
+MAX_FILE_BYTES = 256 * 1024
 
 
 class _WireListen(msgspec.Struct, frozen=True):
@@ -64,7 +63,7 @@
     ip: str
     zone: str
     region: str
-    # The first and the last port, both included.
+    # The first and last port, both inclusive.
     internal_ports: tuple[int, int]
     zones: dict[str, str]
     listen: _WireListen
@@ -74,48 +73,48 @@
 
 
 def load(path: str) -> Result[serving.Instance, errors.Problem]:
-    """Returns the settings in the file, or what is wrong with them."""
+    """Reads and decodes a settings file."""
     file = SettingsFile(path)
     return file.read().bind(file.decode)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettingsFile:
-    """The file: its bytes, and what they say.
+    """A settings file.
 
-    Both are apart so that who reads it anew can see whether it is still
-    being written.
+    Reading and decoding are separate, so that a caller that reads the file
+    again can detect that it is still being written.
     """
 
     path: str
 
     def read(self) -> Result[bytes, errors.Problem]:
-        """Returns what the file holds now; never waits for who writes it."""
+        """Returns the file's current content; never waits for a writer."""
         try:
-            with open(self.path, "rb", opener=_open_at_once) as file:
-                # None is a pipe on which nothing is written now.
-                data = file.read(LARGEST_FILE_BYTES + 1) or b""
+            with open(self.path, "rb", opener=_open_nonblocking) as file:
+                # A pipe without available data returns None.
+                data = file.read(MAX_FILE_BYTES + 1) or b""
         except OSError as error:
             return self._problem(str(error), errors.Kind.UNREADABLE)
-        if len(data) > LARGEST_FILE_BYTES:
-            reason = f"is over {LARGEST_FILE_BYTES} bytes, no settings file"
+        if len(data) > MAX_FILE_BYTES:
+            reason = f"is over {MAX_FILE_BYTES} bytes, no settings file"
             return self._problem(reason, errors.Kind.UNREADABLE)
         return Success(data)
 
     def decode(self, data: bytes) -> Result[serving.Instance, errors.Problem]:
-        """Returns the settings in `data`, or what is wrong with them."""
+        """Returns the settings in `data`, or what is invalid in them."""
         try:
             tree = tomllib.loads(data.decode("utf-8"))
             wire = msgspec.convert(tree, _WireSettings)
         except msgspec.ValidationError as error:
             return self._problem(str(error), errors.Kind.BAD_VALUE)
         except (ValueError, RecursionError) as error:
-            # Half of a character, a number of thousands of digits and tables
-            # nested deeply are no syntax errors to the parser, but these.
+            # The parser raises these, and no syntax error, for an incomplete
+            # UTF-8 character, a number of thousands of digits or deep nesting.
             return self._problem(str(error), errors.Kind.SYNTAX)
-        found = _senseless(wire)
-        if found:
-            reason = ", ".join(f"{key} {why}" for key, why in found)
+        invalid = _invalid_values(wire)
+        if invalid:
+            reason = ", ".join(f"{key} {why}" for key, why in invalid)
             return self._problem(reason, errors.Kind.BAD_VALUE)
         return Success(_instance(wire))
 
@@ -133,77 +132,89 @@
         )
 
 
-def _open_at_once(path: str, flags: int) -> int:
-    # A pipe in the file's place would wait here for a writer, and with it the
-    # thread that serves all callers.
+def _open_nonblocking(path: str, flags: int) -> int:
+    # Opening a pipe in place of the file would block until there is a writer,
+    # and with it the thread that serves all callers.
     return os.open(path, flags | os.O_NONBLOCK)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Figure:
-    """A figure and the range in which it has sense, both ends included."""
+class _RangeCheck:
+    """A value and its valid range, both ends inclusive."""
 
     key: str
     value: float
-    least: float
-    most: float
+    minimum: float
+    maximum: float
 
     @property
-    def is_senseless(self) -> bool:
-        """Whether it is outside its range, or no number."""
-        # A comparison with what is no number is false.
-        return not self.least <= self.value <= self.most
+    def is_out_of_range(self) -> bool:
+        """Whether the value is out of range or NaN."""
+        # Comparisons with NaN are false.
+        return not self.minimum <= self.value <= self.maximum
 
 
-def _figures(wire: _WireSettings) -> list[_Figure]:
+def _range_checks(wire: _WireSettings) -> list[_RangeCheck]:
     bounds = wire.bounds
-    longest_ms = LONGEST_S / MS
+    max_duration_ms = MAX_DURATION_S / SECONDS_PER_MS
     return [
-        _Figure("heartbeatMs", wire.heartbeat_ms, 0, longest_ms),
-        _Figure("bounds.drainMs", bounds.drain_ms, 0, longest_ms),
-        _Figure("bounds.graceS", bounds.grace_s, 0, LONGEST_S),
-        _Figure("bounds.configApplyMs", bounds.config_apply_ms, 0, longest_ms),
-        _Figure(
+        _RangeCheck("heartbeatMs", wire.heartbeat_ms, 0, max_duration_ms),
+        _RangeCheck("bounds.drainMs", bounds.drain_ms, 0, max_duration_ms),
+        _RangeCheck("bounds.graceS", bounds.grace_s, 0, MAX_DURATION_S),
+        _RangeCheck(
+            "bounds.configApplyMs", bounds.config_apply_ms, 0, max_duration_ms
+        ),
+        _RangeCheck(
             "bounds.retryBudgetRatio",
             bounds.retry_budget_ratio,
             0,
-            LARGEST_COUNT,
+            MAX_COUNT,
+        ),
+        _RangeCheck("bounds.budgetExtra", bounds.budget_extra, 0, MAX_COUNT),
+        _RangeCheck(
+            "bounds.budgetWindowS", bounds.budget_window_s, 0, MAX_DURATION_S
+        ),
+        _RangeCheck("bounds.leaseMs", bounds.lease_ms, 0, max_duration_ms),
+        _RangeCheck(
+            "bounds.ceilingWindowS", bounds.ceiling_window_s, 0, MAX_DURATION_S
         ),
-        _Figure("bounds.budgetExtra", bounds.budget_extra, 0, LARGEST_COUNT),
-        _Figure("bounds.budgetWindowS", bounds.budget_window_s, 0, LONGEST_S),
-        _Figure("bounds.leaseMs", bounds.lease_ms, 0, longest_ms),
-        _Figure("bounds.ceilingWindowS", bounds.ceiling_window_s, 0, LONGEST_S),
-        _Figure(
-            "bounds.ceilingOverage", bounds.ceiling_overage, 0, LARGEST_COUNT
+        _RangeCheck(
+            "bounds.ceilingOverage", bounds.ceiling_overage, 0, MAX_COUNT
+        ),
+        _RangeCheck(
+            "bounds.reuseAfterS", bounds.reuse_after_s, 0, MAX_DURATION_S
         ),
-        _Figure("bounds.reuseAfterS", bounds.reuse_after_s, 0, LONGEST_S),
     ]
 
 
-def _senseless(wire: _WireSettings) -> list[tuple[str, str]]:
-    """Returns the keys whose values have no sense, each with the reason."""
-    found = [
-        (one.key, f"is {one.value}, not from {one.least:g} to {one.most:g}")
-        for one in _figures(wire)
-        if one.is_senseless
+def _invalid_values(wire: _WireSettings) -> list[tuple[str, str]]:
+    """Returns the keys of invalid values, each with the reason."""
+    invalid = [
+        (
+            check.key,
+            f"is {check.value}, not from {check.minimum:g}"
+            f" to {check.maximum:g}",
+        )
+        for check in _range_checks(wire)
+        if check.is_out_of_range
     ]
     first, last = wire.internal_ports
-    if not 1 <= first <= last <= untrusted.LAST_PORT:
-        found.append(
+    if not 1 <= first <= last <= untrusted.MAX_PORT:
+        invalid.append(
             ("internalPorts", f"{first} to {last} is no range of ports")
         )
-    if not 1 <= len(wire.node_name.encode()) <= LONGEST_NAME_BYTES:
-        found.append(("nodeName", f"has not 1 to {LONGEST_NAME_BYTES} bytes"))
+    if not 1 <= len(wire.node_name.encode()) <= MAX_NAME_BYTES:
+        invalid.append(("nodeName", f"has not 1 to {MAX_NAME_BYTES} bytes"))
     if not untrusted.is_ip(wire.ip):
-        found.append(("ip", f"is {wire.ip!r}, no IPv4 address"))
+        invalid.append(("ip", f"is {wire.ip!r}, no IPv4 address"))
     for key, address in (
         ("listen.front", wire.listen.front),
         ("listen.ready", wire.listen.ready),
         ("platform.address", wire.platform.address),
     ):
         if not untrusted.is_address(address):
-            found.append((key, f"is {address!r}, not IP:PORT"))
-    return found
+            invalid.append((key, f"is {address!r}, not IP:PORT"))
+    return invalid
 
 
 def _instance(wire: _WireSettings) -> serving.Instance:
@@ -218,17 +229,17 @@
         wire.listen.ready,
         tuple(range(first, last + 1)),
         wire.platform.address,
-        # The own region is also named by itself, where the map lacks it.
+        # Includes the instance's own zone, even if the map lacks it.
         {wire.zone: wire.region, **wire.zones},
-        wire.heartbeat_ms * MS,
+        wire.heartbeat_ms * SECONDS_PER_MS,
         serving.Bounds(
-            bounds.drain_ms * MS,
+            bounds.drain_ms * SECONDS_PER_MS,
             bounds.grace_s,
-            bounds.config_apply_ms * MS,
+            bounds.config_apply_ms * SECONDS_PER_MS,
             bounds.retry_budget_ratio,
             bounds.budget_extra,
             bounds.budget_window_s,
-            bounds.lease_ms * MS,
+            bounds.lease_ms * SECONDS_PER_MS,
             bounds.ceiling_window_s,
             bounds.ceiling_overage,
             bounds.reuse_after_s,
--- a/sesamecross/platform/settings_test.py
+++ b/sesamecross/platform/settings_test.py
@@ -1,4 +1,4 @@
-"""Tests of the settings file: half written, wrong, or with odd values."""
+"""Tests of settings files: partly written, invalid, or with unusual values."""
 
 import os
 import threading
@@ -9,8 +9,8 @@
 from sesamecross.core import errors
 from sesamecross.platform import settings
 
-# Only a guard against hanging; a read takes under a millisecond.
-HANG_S = 10.0
+# Test timeout; a read takes less than a millisecond.
+HANG_TIMEOUT_S = 10.0
 WHOLE = """
 nodeName = "front-1"
 ip = "10.0.0.1"
@@ -30,7 +30,7 @@
 address = "10.9.0.1:90"
 """
 
-# Each of these is no text, or no table that a parser can hold.
+# Content that is not text or that the parser can't represent.
 UNREADABLE = [
     pytest.param(b"\xff\xfe\x00", id="no text"),
     pytest.param('zone = "Slí'.encode()[:-1], id="half a character"),
@@ -45,7 +45,7 @@
     return settings.load(str(path))
 
 
-def test_whole_settings_are_taken_and_unknown_fields_ignored(tmp_path):
+def test_valid_settings_are_loaded_and_unknown_fields_ignored(tmp_path):
     text = WHOLE.replace("[zones]", 'contracts = ["base"]\n[zones]')
     instance = load(tmp_path, text.encode()).unwrap()
     assert instance.ports == tuple(range(7380, 7396))
@@ -54,12 +54,12 @@
 
 
 @pytest.mark.parametrize("content", UNREADABLE)
-def test_what_is_no_text_is_a_problem_and_no_crash(tmp_path, content):
-    """Processes ended while their settings file was being written.
+def test_undecodable_content_is_a_problem_and_no_crash(tmp_path, content):
+    """Guards against crashes while the settings file is being written.
 
-    A process read the file in the middle of a character and failed with a
-    traceback; one that runs did so at each look, until it was given up with
-    all streams of its callers. Only errors of the syntax were expected.
+    A file that ended within a UTF-8 character raised an unexpected exception.
+    Starting processes failed with a traceback. Running ones failed at each
+    reload until the supervisor gave up, and lost all streams of their callers.
     """
     loaded = load(tmp_path, content)
     assert isinstance(loaded, Failure)
@@ -67,8 +67,8 @@
     assert settings.BOOT_VARIABLE in loaded.failure().remedy
 
 
-# What is replaced in whole settings, by what, and the key that is named.
-SENSELESS = [
+# Text in valid settings, its invalid replacement, and the key reported.
+INVALID = [
     ("[7380, 7395]", "[7395, 7380]", "internalPorts"),
     ("[7380, 7395]", "[0, 7395]", "internalPorts"),
     ("[7380, 7395]", "[7380, 70000]", "internalPorts"),
@@ -95,25 +95,25 @@
 ]
 
 
-@pytest.mark.parametrize(("whole", "senseless", "key"), SENSELESS)
-def test_values_without_sense_are_refused_and_named(
-    tmp_path, whole, senseless, key
+@pytest.mark.parametrize(("whole", "invalid", "key"), INVALID)
+def test_invalid_values_are_rejected_and_reported(
+    tmp_path, whole, invalid, key
 ):
-    """A slip in a settings file ended processes, or came into force.
+    """Guards against invalid values that crash processes or take effect.
 
-    Reversed ports made an empty list whose first entry the start takes; a
-    drain bound that is no number made each comparison with it false, so that
-    upstreams which had left were used on. Nothing looked at the values.
+    A reversed port range gave an empty list, whose first entry is read at the
+    start. With NaN as the drain bound all comparisons were false, so upstreams
+    that had left were still used.
     """
     assert whole in WHOLE
-    loaded = load(tmp_path, WHOLE.replace(whole, senseless).encode())
+    loaded = load(tmp_path, WHOLE.replace(whole, invalid).encode())
     assert isinstance(loaded, Failure)
     assert loaded.failure().kind is errors.Kind.BAD_VALUE
     assert key in str(loaded.failure())
 
 
-# The least that is allowed must not be taken for a slip, and a bound of zero
-# belongs to a part of the rules that is not in force.
+# The smallest allowed values are valid, and a bound of zero belongs to a rule
+# that is not in force.
 ALLOWED = [
     ("heartbeatMs = 1200", "heartbeatMs = 0"),
     ("drainMs = 4000", "budgetWindowS = 0"),
@@ -131,22 +131,22 @@
 
 
 @pytest.mark.parametrize(("whole", "unusual"), ALLOWED)
-def test_unusual_values_with_sense_are_taken(tmp_path, whole, unusual):
+def test_unusual_valid_values_are_accepted(tmp_path, whole, unusual):
     assert whole in WHOLE
     load(tmp_path, WHOLE.replace(whole, unusual).encode()).unwrap()
 
 
-def test_the_own_zone_is_known_also_where_the_map_lacks_it(tmp_path):
-    """An instance of a new zone did not start: the map of zones was older."""
+def test_the_own_zone_is_added_to_the_map_of_zones(tmp_path):
+    """Guards against a new zone's instance that fails on an older zone map."""
     text = WHOLE.replace('z1 = "r1"', "").encode()
     assert load(tmp_path, text).unwrap().regions == {"z1": "r1", "z2": "r2"}
 
 
-def test_a_file_that_is_no_file_of_bytes_holds_nobody_up(tmp_path):
-    """An instance answered nobody, and heard no stop, for as long as it ran.
+def test_a_pipe_in_place_of_the_file_does_not_block(tmp_path):
+    """Guards against an instance that hangs and ignores stop signals.
 
-    Where the settings file had been there was a pipe. Reading it waits for
-    who writes, in the thread that serves all callers and takes the signals.
+    The settings file had been replaced by a pipe. Reading it blocks until
+    there is a writer, in the thread that serves callers and handles signals.
     """
     path = tmp_path / "node.toml"
     os.mkfifo(path)
@@ -155,15 +155,15 @@
         target=lambda: read.append(settings.load(str(path))), daemon=True
     )
     thread.start()
-    thread.join(HANG_S)
+    thread.join(HANG_TIMEOUT_S)
     assert isinstance(read and read[0], Failure)
 
 
-def test_a_file_far_beyond_all_settings_is_a_problem(tmp_path):
-    """Callers waited for seconds, and a process went over its memory.
+def test_an_oversized_file_is_a_problem(tmp_path):
+    """Guards against a large file that stalls callers and exhausts memory.
 
-    A file that is no settings file had got in their place. It was read whole
-    and parsed at under 2 MB a second, in the thread that serves all callers.
+    A file in place of the settings was read completely and parsed at less than
+    2 MB/s, in the thread that serves all callers; they waited for seconds.
     """
     more = b"".join(b"x%d = 1\n" % number for number in range(100_000))
     loaded = load(tmp_path, more + WHOLE.encode())
--- a/sesamecross/platform/store_codec.py
+++ b/sesamecross/platform/store_codec.py
@@ -1,8 +1,7 @@
-"""The wire form of the platform's store.
+"""Wire format of the platform's store: paths, queries, statuses and framing.
 
-Why: the one place that knows paths, query names, statuses and the framing of
-records. It keeps no state and waits for nothing; the client that sends these
-calls is `sesamecross.gateway.store_client`.
+The codec is stateless and does no I/O; `sesamecross.gateway.store_client`
+sends the calls.
 """
 
 import base64
@@ -18,14 +17,14 @@
 CONFIGURATION_TOPIC = "keyed.op"
 CONFIGURATION_KEY = "config"
 UPSTREAMS_TOPIC = "keyed.servers"
-# Topics of the system's own begin with this, so that the store keeps the
-# newest record of each key for ever.
+# The system's own topics begin with this prefix, for which the store keeps the
+# newest record of each key forever.
 OWN_TOPIC_PREFIX = "keyed.sesamecross-"
 
 _LENGTH = struct.Struct(">I")
-# The end of the partition and its first retained offset, before the records.
-_PAGE_HEAD = struct.Struct(">QQ")
-_ENTRIES_KB = 1024
+# Precedes the records: end offset of the partition, first retained offset.
+_PAGE_HEADER = struct.Struct(">QQ")
+_READ_PAGE_KB = 1024
 
 
 class _WireItem(msgspec.Struct, frozen=True):
@@ -51,7 +50,7 @@
 
 
 class StoreCodec:
-    """Calls and answers of the platform's store."""
+    """Implements `ports.store.StoreCodec`."""
 
     __slots__ = ()
 
@@ -60,49 +59,49 @@
         query = {"topic": topic, "part": "0"}
         if after:
             query["after"] = after
-        return store.StoreCall(b"GET", _target("/v1/log-newest", query))
+        return store.StoreCall(b"GET", _request_target("/v1/log-newest", query))
 
     def newest_answer(self, status: int, body: bytes) -> store.NewestOutcome:
-        """Reads the answer of `newest`."""
+        """Decodes the response to `newest`."""
         if status != 200:
             return store.NotDone(f"status {status}")
         try:
             wire = untrusted.decode(_newest_decoder, body)
-        except untrusted.NotUnderstood as error:
+        except untrusted.DecodeError as error:
             return store.NotDone(f"answer is not understood: {error}")
         records = tuple(
-            store.KeyedRecord(item.key, _value(item), item.offset)
+            store.KeyedRecord(item.key, _decode_value(item), item.offset)
             for item in wire.items
         )
         return store.NewestPage(records, wire.has_more, wire.end)
 
     def read(self, topic: str, offset: int, wait_s: float) -> store.StoreCall:
-        """Returns the call that reads on from an offset."""
+        """Returns the call that reads records from an offset on."""
         query = {
             "topic": topic,
             "part": "0",
             "from": str(offset),
-            "maxKb": str(_ENTRIES_KB),
+            "maxKb": str(_READ_PAGE_KB),
         }
         if wait_s > 0:
             query["waitMs"] = str(int(wait_s * 1000))
-        return store.StoreCall(b"GET", _target("/v1/log-read", query))
+        return store.StoreCall(b"GET", _request_target("/v1/log-read", query))
 
     def read_answer(
         self, status: int, body: bytes, offset: int
     ) -> store.ReadOutcome:
-        """Reads the answer of `read`."""
+        """Decodes the response to `read`."""
         if status == 410:
-            return store.Expired(_numbers(body).first)
+            return store.Expired(_decode_offsets(body).first)
         if status != 200:
             return store.NotDone(f"status {status}")
-        if len(body) < _PAGE_HEAD.size:
+        if len(body) < _PAGE_HEADER.size:
             return store.NotDone("answer is cut short")
-        _, first = _PAGE_HEAD.unpack_from(body)
+        _, first = _PAGE_HEADER.unpack_from(body)
         if first > offset:
-            # Records between the two were dropped unread.
+            # The records between `offset` and `first` have expired.
             return store.Expired(first)
-        return _page(body, offset)
+        return _decode_page(body, offset)
 
     def append(
         self, topic: str, key: str, value: bytes | None, at: int | None
@@ -115,28 +114,28 @@
         content = bytes((len(name),)) + name + (value or b"")
         return store.StoreCall(
             b"POST",
-            _target("/v1/log-append", query),
+            _request_target("/v1/log-append", query),
             _LENGTH.pack(len(content)) + content,
         )
 
     def append_answer(self, status: int, body: bytes) -> store.AppendOutcome:
-        """Reads the answer of `append`."""
+        """Decodes the response to `append`."""
         if status == 200:
-            return store.Appended(_numbers(body).offset)
+            return store.Appended(_decode_offsets(body).offset)
         if status == 412:
-            return store.Conflict(_numbers(body).end)
+            return store.Conflict(_decode_offsets(body).end)
         return store.NotDone(f"status {status}")
 
 
-def _target(path: str, query: dict[str, str]) -> bytes:
+def _request_target(path: str, query: dict[str, str]) -> bytes:
     return f"{path}?{parse.urlencode(query)}".encode()
 
 
-def _value(item: _WireItem) -> bytes:
-    """Returns an item's value; one that is damaged is empty.
+def _decode_value(item: _WireItem) -> bytes:
+    """Returns an item's value, or an empty value if it is damaged.
 
-    An empty value names nothing, and whoever takes the record says so. The
-    other records of the page must not wait for it, and its key is there.
+    Readers reject and log the empty value. The item is kept, so that the other
+    records of the page are used and its key does not count as deleted.
     """
     try:
         return base64.b64decode(item.value)
@@ -144,31 +143,33 @@
         return b""
 
 
-def _numbers(body: bytes) -> _WireEnd:
+def _decode_offsets(body: bytes) -> _WireEnd:
     try:
         return untrusted.decode(_end_decoder, body)
-    except untrusted.NotUnderstood:
-        # The figures only save a call: a reader that goes on from 0 is told
-        # again where to begin.
+    except untrusted.DecodeError:
+        # The offsets only save a call: a reader that continues from 0 is told
+        # the first offset again.
         return _WireEnd()
 
 
-def _page(body: bytes, offset: int) -> store.ReadOutcome:
+def _decode_page(body: bytes, offset: int) -> store.ReadOutcome:
     records = []
-    at = _PAGE_HEAD.size
-    while at + _LENGTH.size <= len(body):
-        (length,) = _LENGTH.unpack_from(body, at)
-        at += _LENGTH.size
-        if at + length > len(body):
+    position = _PAGE_HEADER.size
+    while position + _LENGTH.size <= len(body):
+        (length,) = _LENGTH.unpack_from(body, position)
+        position += _LENGTH.size
+        if position + length > len(body):
             return store.NotDone("a record is cut short")
-        record = _keyed(body[at : at + length], offset + len(records))
+        record = _decode_record(
+            body[position : position + length], offset + len(records)
+        )
         records.append(record)
-        at += length
+        position += length
     return store.Page(tuple(records), offset + len(records))
 
 
-def _keyed(content: bytes, offset: int) -> store.KeyedRecord:
-    """Returns the record in `content`; one without a key has an empty one."""
+def _decode_record(content: bytes, offset: int) -> store.KeyedRecord:
+    """Decodes a record; the key is empty if the content has none."""
     if not content or len(content) < 1 + content[0]:
         return store.KeyedRecord("", None, offset)
     key = content[1 : 1 + content[0]].decode("utf-8", "replace")
--- a/sesamecross/platform/untrusted.py
+++ b/sesamecross/platform/untrusted.py
@@ -1,9 +1,9 @@
-"""Reads what other programs wrote, without failing on any of it.
+"""Decoding of untrusted input with a single kind of error.
 
-Why: records, answers and addresses come from writers that this system does
-not know. A decoder that fails in a way that nobody expected takes down the
-component that calls it, and at last the process, as the same record is read
-again at each start.
+Records, responses and addresses come from writers that this system does not
+control. An unexpected exception of a decoder would stop the component that
+calls it and finally the process, as the same record is read again at each
+start.
 """
 
 import ipaddress
@@ -12,32 +12,32 @@
 
 import msgspec
 
-LAST_PORT = 65_535
-# Numbers go on to other instances in 64 bits.
-_LARGEST = 2**63 - 1
+MAX_PORT = 65_535
+# Numbers are passed on to other instances as 64-bit integers.
+_MAX_INT64 = 2**63 - 1
 
-Number = Annotated[int, msgspec.Meta(ge=-_LARGEST, le=_LARGEST)]
-NonNegative = Annotated[int, msgspec.Meta(ge=0, le=_LARGEST)]
-Positive = Annotated[int, msgspec.Meta(ge=1, le=_LARGEST)]
+Number = Annotated[int, msgspec.Meta(ge=-_MAX_INT64, le=_MAX_INT64)]
+NonNegative = Annotated[int, msgspec.Meta(ge=0, le=_MAX_INT64)]
+Positive = Annotated[int, msgspec.Meta(ge=1, le=_MAX_INT64)]
 
 _Wire = TypeVar("_Wire")
 
 
-class NotUnderstood(Exception):
-    """The bytes do not hold what they should."""
+class DecodeError(Exception):
+    """The input is not a valid value of the expected type."""
 
 
 def decode(decoder: "msgspec.json.Decoder[_Wire]", data: bytes) -> _Wire:
-    """Returns what the bytes hold.
+    """Decodes `data`.
 
     Raises:
-      NotUnderstood: They hold something else. There is no other error: also
-        nesting so deep that the decoder gives up is told so.
+      DecodeError: The input is invalid. No other exception is raised, not even
+        for nesting that is too deep for the decoder.
     """
     try:
         return decoder.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise NotUnderstood(str(error)) from error
+        raise DecodeError(str(error)) from error
 
 
 def is_ip(text: str) -> bool:
@@ -52,7 +52,7 @@
 def is_address(text: str) -> bool:
     """Whether a text is an IPv4 address and a port."""
     host, _, port = text.rpartition(":")
-    # Other digits than these count as digits too, but make no port.
+    # str.isdigit also accepts non-ASCII digits, which are invalid in a port.
     if not (port.isascii() and port.isdigit() and len(port) <= 5):
         return False
-    return is_ip(host) and 1 <= int(port) <= LAST_PORT
+    return is_ip(host) and 1 <= int(port) <= MAX_PORT
