--- a/sesamecross/ports/__init__.py
+++ b/sesamecross/ports/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters to the systems outside, one file for each protocol."""
+"""Adapters to external systems, one module for each protocol."""
--- a/sesamecross/ports/engine_http.py
+++ b/sesamecross/ports/engine_http.py
@@ -1,13 +1,13 @@
-"""A model engine over HTTP: orders, reports and the wire form.
+"""Client of model engines over HTTP: orders and status reports.
 
-Why: this file and `engine_stream` alone know the engine's wire form.
+Only this module and `engine_stream` know the engines' wire format.
 
-Wire form: calls in the OpenAI style, streamed by server-sent events whose
-`id:` counts the tokens so far. `X-Request-Id` names the call and comes back
-in each chunk's `id`; `Last-Event-ID` resumes behind a token; `X-Priority`
-orders the engine's queue; `X-Not-Run` on an error says that the call was not
-begun. `POST /admin/orders` takes an order; an order id that was seen before
-changes nothing. `GET /admin/status` reports, `DELETE /v1/calls/ID` cancels.
+Calls are OpenAI-style requests, answered by server-sent events whose `id:` is
+the number of tokens so far. `X-Request-Id` identifies the call and is returned
+in the `id` of each chunk. `Last-Event-ID` resumes after a token, `X-Priority`
+orders the engine's queue, and `X-Not-Run` on an error means that the call was
+not started. `POST /admin/orders` accepts an order, idempotently by order id.
+`GET /admin/status` returns a report, and `DELETE /v1/calls/ID` cancels a call.
 """
 
 import dataclasses
@@ -25,7 +25,7 @@
 
 
 class OrderState(enum.Enum):
-    """What an engine says of one order."""
+    """State of an order, as reported by an engine."""
 
     APPLIED = "applied"
     LOADING = "loading"
@@ -34,10 +34,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineStatus:
-    """An engine's report with the orders that it remembers.
+    """An engine's report with the states of its recent orders.
 
     Attributes:
-      fence: The highest fencing number that the engine has seen.
+      fence: The highest fencing token that the engine has seen.
     """
 
     report: data.UpstreamReport
@@ -46,26 +46,26 @@
 
 
 class HttpEngine:
-    """All engines; each method names the one it speaks to."""
+    """Client of all engines; each method takes the engine's URL."""
 
-    __slots__ = ("_admin",)
+    __slots__ = ("_admin_pool",)
 
     def __init__(self) -> None:
-        self._admin = http_client.pool(2, 0.5, 2.0)
+        self._admin_pool = http_client.pool(2, 0.5, 2.0)
 
     def cancel(self, url: str, request_id: str) -> None:
-        """Tells the engine that nobody waits for the call any more."""
+        """Tells the engine that the call's caller is gone."""
         try:
-            self._admin.request("DELETE", f"{url}/v1/calls/{request_id}")
+            self._admin_pool.request("DELETE", f"{url}/v1/calls/{request_id}")
         except urllib3.exceptions.HTTPError:
-            # The engine also notices the closed connection; the order to
-            # cancel only makes it sooner.
+            # The engine also detects the closed connection; cancelling only
+            # makes it stop sooner.
             return
 
     def send_order(
         self, url: str, order: data.Order, fence: int
     ) -> Result[OrderState, errors.Problem]:
-        """Sends an order once and returns the engine's first word on it."""
+        """Sends an order once and returns its initial state."""
         body = {
             "order_id": order.order_id,
             "fence": fence,
@@ -76,7 +76,7 @@
             "memory_mib": order.memory_mib,
         }
         try:
-            response = self._admin.request(
+            response = self._admin_pool.request(
                 "POST", f"{url}/admin/orders", json=body
             )
             return Success(OrderState(json.loads(response.data)["state"]))
@@ -86,27 +86,27 @@
             KeyError,
             TypeError,
         ) as error:
-            return Failure(_problem(url, type(error).__name__))
+            return Failure(_unreachable(url, type(error).__name__))
 
     def status(
         self, upstream: str, url: str
     ) -> Result[EngineStatus, errors.Problem]:
-        """Asks an engine what it holds and what it works on."""
+        """Requests an engine's report and the states of its orders."""
         try:
-            response = self._admin.request("GET", f"{url}/admin/status")
+            response = self._admin_pool.request("GET", f"{url}/admin/status")
             if response.status != 200:
-                return Failure(_problem(url, f"HTTP {response.status}"))
-            return Success(_status(upstream, json.loads(response.data)))
+                return Failure(_unreachable(url, f"HTTP {response.status}"))
+            return Success(_parse_status(upstream, json.loads(response.data)))
         except (
             urllib3.exceptions.HTTPError,
             ValueError,
             KeyError,
             TypeError,
         ) as error:
-            return Failure(_problem(url, type(error).__name__))
+            return Failure(_unreachable(url, type(error).__name__))
 
 
-def _status(upstream: str, body: dict) -> EngineStatus:
+def _parse_status(upstream: str, body: dict) -> EngineStatus:
     report = data.UpstreamReport(
         upstream=upstream,
         epoch=str(body["epoch"]),
@@ -125,7 +125,7 @@
     return EngineStatus(report, orders, int(body["fence"]))
 
 
-def _problem(url: str, reason: str) -> errors.Problem:
+def _unreachable(url: str, reason: str) -> errors.Problem:
     return errors.Problem(
         url,
         "",
--- a/sesamecross/ports/engine_stream.py
+++ b/sesamecross/ports/engine_stream.py
@@ -1,10 +1,9 @@
-"""One streamed call to an engine, on a connection of its own.
+"""One streamed call to an engine, on a dedicated connection.
 
-Why: an answer must never reach another caller, so a connection carries one
-call and is closed behind it; a late answer has nowhere to go. The body is
-parsed by `httptools` from whatever bytes there are, so that one thread can
-serve the tokens of all calls without waiting on any (see
-docs/design/0004-relay.md for what was measured).
+An answer must never reach another caller, so each connection carries one call
+and is closed after it; a late answer can't be delivered. `httptools` parses the
+body incrementally, so that one thread can relay the tokens of all calls without
+blocking on any (measurements are in docs/design/0004-relay.md).
 """
 
 import dataclasses
@@ -18,7 +17,7 @@
 from sesamecross.ports import sse
 
 _READ_BYTES = 65_536
-_CONNECT_S = 0.5
+_CONNECT_TIMEOUT_S = 0.5
 MAX_ERROR_BYTES = 1024 * 1024
 
 
@@ -27,9 +26,9 @@
     """One call to dispatch to an engine.
 
     Attributes:
-      head_s: How long the head of the answer may take, in seconds.
-      resume_after: Tokens that the caller has already; the engine goes on
-        behind them.
+      head_timeout_s: Timeout for the response head, in seconds.
+      resume_after: Number of tokens that the caller already has; the engine
+        continues after them.
     """
 
     url: str
@@ -37,7 +36,7 @@
     body: bytes
     request_id: str
     priority: int
-    head_s: float
+    head_timeout_s: float
     resume_after: int = 0
 
     def wire(self) -> bytes:
@@ -59,11 +58,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejected:
-    """The engine answered with an error of its own.
+    """The engine answered with an error.
 
     Attributes:
-      not_run: The engine's word that it did not begin: "leaving",
-        "not-resident", or empty where it says nothing.
+      not_run: Why the engine did not start the call: "leaving" or
+        "not-resident"; empty if it does not say.
     """
 
     status: int
@@ -73,90 +72,92 @@
 
 
 class StreamBroken(Exception):
-    """The connection failed or carried something invalid."""
+    """The connection failed or received invalid data."""
 
 
-class _Body:
-    """Callbacks of the HTTP parser."""
+class _ResponseHandler:
+    """Callbacks of the HTTP parser, which collect the response."""
 
-    __slots__ = ("headers", "head_done", "complete", "pieces")
+    __slots__ = ("headers", "is_head_complete", "is_complete", "chunks")
 
     def __init__(self) -> None:
         self.headers: dict[str, str] = {}
-        self.head_done = False
-        self.complete = False
-        self.pieces: list[bytes] = []
+        self.is_head_complete = False
+        self.is_complete = False
+        self.chunks: list[bytes] = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        self.head_done = True
+        self.is_head_complete = True
 
     def on_body(self, body: bytes) -> None:
-        self.pieces.append(body)
+        self.chunks.append(body)
 
     def on_message_complete(self) -> None:
-        self.complete = True
+        self.is_complete = True
 
 
 class EngineStream:
-    """An engine's streamed answer. Must be closed by its owner."""
+    """An engine's streamed response. The owner must close it."""
 
-    __slots__ = ("_socket", "_parser", "_body", "_splitter", "_ended")
+    __slots__ = ("_socket", "_parser", "_response", "_event_parser", "_ended")
 
     def __init__(self, sock: socket.socket):
         self._socket = sock
-        self._body = _Body()
-        self._parser = httptools.HttpResponseParser(self._body)
-        self._splitter = sse.Splitter()
+        self._response = _ResponseHandler()
+        self._parser = httptools.HttpResponseParser(self._response)
+        self._event_parser = sse.EventParser()
         self._ended = False
 
     @classmethod
     def open(
         cls, request: CallRequest
     ) -> "EngineStream | Rejected | http_client.NotSent | http_client.Failed":
-        """Dispatches a call and returns when the answer's head is there."""
+        """Dispatches a call and waits for the response head."""
         parts = urllib.parse.urlsplit(request.url)
         try:
             sock = connection.create_connection(
                 (parts.hostname, parts.port),
-                timeout=_CONNECT_S,
+                timeout=_CONNECT_TIMEOUT_S,
                 socket_options=[(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)],
             )
         except OSError as error:
             return http_client.NotSent(type(error).__name__)
         stream = cls(sock)
         try:
-            return stream._begin(request)
+            return stream._send_and_read_head(request)
         except (OSError, StreamBroken) as error:
             stream.close()
             return http_client.Failed(type(error).__name__)
 
-    def _begin(self, request: CallRequest):
-        self._socket.settimeout(request.head_s)
+    def _send_and_read_head(self, request: CallRequest):
+        self._socket.settimeout(request.head_timeout_s)
         self._socket.sendall(request.wire())
-        while not self._body.head_done:
+        while not self._response.is_head_complete:
             self._feed(self._socket.recv(_READ_BYTES))
-        answered = self._body.headers.get("x-request-id", request.request_id)
+        answered = self._response.headers.get(
+            "x-request-id", request.request_id
+        )
         if answered != request.request_id:
-            # An answer to some other call: nothing on this connection can
-            # be trusted.
+            # This is the answer to another call, so nothing on this connection
+            # can be trusted.
             raise StreamBroken("answer of another call")
         if self._parser.get_status_code() == 200:
             return self
-        return self._rejected()
+        return self._read_rejection()
 
-    def _rejected(self) -> Rejected:
+    def _read_rejection(self) -> Rejected:
         size = 0
         while not self._ended and size < MAX_ERROR_BYTES:
             self._feed(self._socket.recv(_READ_BYTES))
-            size = sum(len(piece) for piece in self._body.pieces)
-        headers = self._body.headers
+            size = sum(len(chunk) for chunk in self._response.chunks)
+        headers = self._response.headers
         rejected = Rejected(
             self._parser.get_status_code(),
             headers.get("content-type", ""),
-            b"".join(self._body.pieces),
+            b"".join(self._response.chunks),
             headers.get("x-not-run", ""),
         )
         self.close()
@@ -164,7 +165,7 @@
 
     def _feed(self, data: bytes) -> None:
         if not data:
-            if not self._body.head_done:
+            if not self._response.is_head_complete:
                 raise StreamBroken("closed before the head")
             self._ended = True
             return
@@ -172,32 +173,32 @@
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
             raise StreamBroken(f"not HTTP ({error})") from error
-        self._ended = self._ended or self._body.complete
+        self._ended = self._ended or self._response.is_complete
 
     def fileno(self) -> int:
-        """Returns the descriptor to wait on."""
+        """Returns the file descriptor to wait on."""
         return self._socket.fileno()
 
     @property
     def ended(self) -> bool:
-        """Whether the answer's body has ended or the engine hung up."""
+        """Whether the body is complete or the engine closed the connection."""
         return self._ended
 
     def read(self, wait_s: float | None) -> list[sse.Event]:
         """Returns the next events.
 
         Args:
-          wait_s: How long to wait for bytes; None for what is there now.
+          wait_s: How long to wait for data, in seconds; None does not wait.
 
         Raises:
-          StreamBroken: The connection failed, stalled, or carried something
-            invalid.
+          StreamBroken: The connection failed, stalled, or received invalid
+            data.
         """
-        events = self._take()
+        events = self._take_events()
         if events or self._ended:
             return events
         try:
-            # A timeout of 0 is the library's word for not waiting at all.
+            # A timeout of 0 makes the socket non-blocking.
             self._socket.settimeout(wait_s or 0.0)
             data = self._socket.recv(_READ_BYTES)
         except BlockingIOError:
@@ -205,18 +206,18 @@
         except OSError as error:
             raise StreamBroken(type(error).__name__) from error
         self._feed(data)
-        return self._take()
+        return self._take_events()
 
-    def _take(self) -> list[sse.Event]:
-        pieces = self._body.pieces
-        if not pieces:
+    def _take_events(self) -> list[sse.Event]:
+        chunks = self._response.chunks
+        if not chunks:
             return []
-        self._body.pieces = []
+        self._response.chunks = []
         try:
-            return self._splitter.feed(b"".join(pieces))
-        except sse.EventTooLarge as error:
+            return self._event_parser.feed(b"".join(chunks))
+        except sse.EventTooLargeError as error:
             raise StreamBroken(str(error)) from error
 
     def close(self) -> None:
-        """Ends the connection."""
+        """Closes the connection."""
         self._socket.close()
--- a/sesamecross/ports/http_client.py
+++ b/sesamecross/ports/http_client.py
@@ -1,8 +1,8 @@
-"""What all HTTP adapters share: pools, timeouts and typed failures.
+"""Connection pools, timeouts and typed failures of all HTTP adapters.
 
-Why: a call that failed before it was sent may be tried elsewhere, and one
-that failed later may not. Only the place where the request is written can
-tell the two apart, so it is told here, once, for every adapter.
+A call that failed before it was sent can be retried elsewhere; one that failed
+later may have been executed. Only the code that sends the request can tell the
+two apart, so all adapters classify failures here.
 """
 
 import dataclasses
@@ -19,13 +19,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failed:
-    """The request may have been acted on; the answer is not known."""
+    """The request may have been executed; the answer is unknown."""
 
     reason: str
 
 
 def pool(connections: int, connect_s: float, read_s: float):
-    """Returns a pool manager that never retries or redirects by itself."""
+    """Returns a pool manager that never retries or follows redirects."""
     return urllib3.PoolManager(
         num_pools=256,
         maxsize=connections,
@@ -36,11 +36,11 @@
 
 
 def classify(error: Exception) -> NotSent | Failed:
-    """Tells whether a request that raised may have been acted on.
+    """Classifies whether a request that raised may have been executed.
 
-    Only a connection that was never established proves that nothing was
-    sent. A reset on a reused connection looks like a stale keep-alive, yet
-    the request may have been read before it: it counts as failed.
+    Only a connection that was never established proves that nothing was sent.
+    A reset on a reused connection looks like a stale keep-alive connection, but
+    the server may have read the request before it, so it counts as `Failed`.
     """
     not_sent = (
         urllib3.exceptions.NewConnectionError,
--- a/sesamecross/ports/http_codec.py
+++ b/sesamecross/ports/http_codec.py
@@ -1,8 +1,8 @@
-"""How callers and upstreams of a platform say things over HTTP.
+"""Interface of a platform's HTTP codec.
 
-Why: the gateway relays requests without knowing the names of headers, paths
-or fields. This file holds what it needs to know of a head, and the interface
-of the adapter that reads and writes them.
+The gateway relays requests without knowing the platform's names of headers,
+paths or fields. This module defines the parsed heads and the interface of the
+adapter that parses and creates them.
 """
 
 from collections.abc import Iterable
@@ -14,12 +14,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestHead:
-    """What a caller's headers say of its request.
+    """The parsed headers of a caller's request.
 
     Attributes:
-      deadline_s: How long the caller waits, from now; None if it says none.
-      last_event_id: Where it resumes a stream, or empty.
-      call: Set where the request names a model.
+      deadline_s: How long the caller waits from now, in seconds; None if it
+        did not say.
+      last_event_id: Event after which it resumes a stream, or empty.
+      call: Set if the request names a model.
     """
 
     request_id: str
@@ -30,16 +31,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """What the head of an upstream's answer says.
+    """The parsed head of an upstream's response.
 
     Attributes:
-      has_signature: The upstream vouches for the answer.
-      was_not_run: The upstream's word that it did not run the request.
-      is_misdirected: It is not the upstream that was meant, or it does not
-        hold the model.
-      is_encoded: The body is not the upstream's own bytes.
+      has_signature: The upstream signed the response.
+      was_not_executed: The upstream states that it did not run the request.
+      is_misdirected: It is not the intended upstream, or it does not hold the
+        model.
+      is_encoded: The body has a content encoding, so its bytes are not the
+        upstream's own.
       is_event_stream: The body is a stream of events.
-      instance_id: Which upstream answered, where it says so.
+      instance_id: The upstream that answered, or empty if it does not say.
     """
 
     request_id: str
@@ -53,13 +55,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForwardContext:
-    """What the system adds when it passes a request on.
+    """What the gateway adds when it forwards a request.
 
     Attributes:
-      instance_id: The life of the upstream that is meant.
-      left_s: What is left of the caller's time.
-      urgency: 0 to 9 for engines, or None.
-      last_event_id: Behind which event a stream goes on, or empty.
+      instance_id: The instance id that the upstream must have.
+      left_s: Time until the caller's deadline, in seconds.
+      urgency: Priority from 0 to 9 for engines, or None.
+      last_event_id: Event after which a stream continues, or empty.
     """
 
     instance_id: str
@@ -70,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControlCall:
-    """A call to an engine's own interface."""
+    """A call to an engine's control API."""
 
     method: bytes
     target: bytes
@@ -79,41 +81,41 @@
 
 
 class HttpCodec(Protocol):
-    """Reads and writes the platform's HTTP."""
+    """Parses and creates the platform's HTTP heads and control calls."""
 
     def parse_request_head(
         self, headers: Iterable[serving.Header]
     ) -> RequestHead:
-        """Reads a caller's headers; names are in lower case."""
+        """Parses a caller's request headers; names are in lower case."""
 
     def upstream_request_headers(
-        self, request: serving.Request, passing: ForwardContext
+        self, request: serving.Request, context: ForwardContext
     ) -> list[serving.Header]:
-        """Returns the headers under which a request is passed on."""
+        """Returns the headers for forwarding a request to an upstream."""
 
     def parse_response_head(
         self, status: int, headers: Iterable[serving.Header]
     ) -> ResponseHead:
-        """Reads the head of an upstream's answer."""
+        """Parses the head of an upstream's response."""
 
     def caller_response_headers(
         self, headers: Iterable[serving.Header]
     ) -> list[serving.Header]:
-        """Returns the headers of an answer that are passed on."""
+        """Returns the response headers that are forwarded to the caller."""
 
     def refusal(
         self, request_id: str, retry_after_s: float | None
     ) -> list[serving.Header]:
-        """Returns the headers of an answer of the system's own."""
+        """Returns the headers of a response that the gateway itself creates."""
 
     def report_call(self, instance_id: str) -> ControlCall:
-        """Returns the call that asks an engine for its state."""
+        """Returns the call that requests an engine's report."""
 
     def report(self, body: bytes) -> serving.EngineReport | None:
-        """Reads an engine's state; None where the body holds none."""
+        """Decodes an engine's report; returns None if it is invalid."""
 
     def order_call(self, order: serving.EngineOrder) -> ControlCall:
-        """Returns the call that gives an engine an order."""
+        """Returns the call that sends an order to an engine."""
 
     def parse_order_answer(self, status: int) -> serving.OrderAnswer:
-        """Reads what an engine's status says of an order."""
+        """Maps the status of an engine's response to an order answer."""
--- a/sesamecross/ports/instances_http.py
+++ b/sesamecross/ports/instances_http.py
@@ -1,9 +1,9 @@
-"""The platform's list of live and leaving instances over HTTP.
+"""Client of the platform's list of live and leaving instances.
 
-Why: it is a hint that lags: good for finding a first peer while the log is
-away, never good enough to declare somebody dead.
+The list lags behind. It helps to find a first peer while the log is
+unavailable, but must not be used to declare an instance dead.
 
-Wire form: `GET /instances` answers a list of `{"instance", "zone",
+Wire format: `GET /instances` returns a list of `{"instance", "zone",
 "address", "state"}`; `state` is "live" or "leaving".
 """
 
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListedInstance:
-    """One line of the platform's list. `address` is a stream address."""
+    """One entry of the platform's list. `address` accepts streams."""
 
     instance: str
     zone: str
@@ -30,7 +30,7 @@
 
 
 class HttpInstances:
-    """Reads the list."""
+    """Reads the platform's list of instances."""
 
     __slots__ = ("_url", "_pool")
 
@@ -39,13 +39,13 @@
         self._pool = http_client.pool(1, connect_s=1.0, read_s=2.0)
 
     def read(self) -> Result[list[ListedInstance], errors.Problem]:
-        """Returns what the platform lists now."""
+        """Returns the instances that the platform lists now."""
         try:
             response = self._pool.request("GET", self._url)
             if response.status != 200:
                 return Failure(self._problem(f"HTTP {response.status}"))
-            lines = json.loads(response.data)
-            return Success([_listed(line) for line in lines])
+            entries = json.loads(response.data)
+            return Success([_parse_instance(entry) for entry in entries])
         except (
             urllib3.exceptions.HTTPError,
             ValueError,
@@ -64,10 +64,10 @@
         )
 
 
-def _listed(line: dict) -> ListedInstance:
+def _parse_instance(entry: dict) -> ListedInstance:
     return ListedInstance(
-        str(line["instance"]),
-        str(line["zone"]),
-        str(line["address"]),
-        line["state"] == "leaving",
+        str(entry["instance"]),
+        str(entry["zone"]),
+        str(entry["address"]),
+        entry["state"] == "leaving",
     )
--- a/sesamecross/ports/log_http.py
+++ b/sesamecross/ports/log_http.py
@@ -1,12 +1,12 @@
-"""The platform's append-only log over HTTP.
+"""Client of the platform's append-only log over HTTP.
 
-Why: the one place that knows the log's wire form. Another log on the users'
-side costs another file like this and nothing else.
+Only this module knows the log's wire format; supporting another log takes
+another module like this and no other change.
 
-Wire form: `POST /streams/S/records` appends the body as one record and
-answers `{"offset": n}`. `GET /streams/S/records?from=n&limit=l&wait_ms=w`
-answers `{"first": f, "next": n, "records": [base64, ...]}`, waiting up to
-`w` for a record to come; 410 when `from` has expired, with the same members.
+Wire format: `POST /streams/S/records` appends the body as one record and
+returns `{"offset": n}`. `GET /streams/S/records?from=n&limit=l&wait_ms=w`
+returns `{"first": f, "next": n, "records": [base64, ...]}`, waiting up to `w`
+ms for a record. If `from` has expired, the status is 410 with the same members.
 """
 
 import base64
@@ -30,8 +30,8 @@
 
     Attributes:
       first: The oldest offset that the log still holds.
-      start: Offset of the first of `payloads`; greater than asked for where
-        records have expired.
+      start: Offset of the first of `payloads`; greater than the requested
+        offset if records have expired.
       next_offset: The offset that the next append will get.
     """
 
@@ -42,7 +42,7 @@
 
 
 class HttpLog:
-    """One stream of the platform's log. Safe for threads."""
+    """One stream of the platform's log. Thread-safe."""
 
     __slots__ = ("_url", "_pool")
 
@@ -53,8 +53,8 @@
     def append(self, payload: bytes) -> Result[int, errors.Problem]:
         """Appends one record; returns its offset.
 
-        A failure does not tell whether the record is on the log: whoever
-        tries again must send the same append id.
+        After a failure the record may or may not be on the log, so a retry
+        must use the same append id.
         """
         try:
             response = self._pool.request("POST", self._url, body=payload)
@@ -70,7 +70,7 @@
     def read(
         self, start: int, wait_ms: int, limit: int = READ_LIMIT
     ) -> Result[Page, errors.Problem]:
-        """Reads records from `start`, waiting up to `wait_ms` for one."""
+        """Reads records from `start` on, waiting up to `wait_ms` for one."""
         fields = {"from": start, "limit": limit, "wait_ms": wait_ms}
         timeout = urllib3.Timeout(connect=1.0, read=5.0 + wait_ms / 1000)
         try:
@@ -82,7 +82,7 @@
         if response.status not in (200, 410):
             return Failure(self._unreachable(f"HTTP {response.status}"))
         try:
-            return Success(_page(start, json.loads(response.data)))
+            return Success(_parse_page(start, json.loads(response.data)))
         except (ValueError, KeyError, TypeError):
             return Failure(self._unreachable("answer is not understood"))
 
@@ -96,7 +96,7 @@
         )
 
 
-def _page(start: int, body: dict) -> Page:
+def _parse_page(start: int, body: dict) -> Page:
     payloads = tuple(
         base64.b64decode(text, validate=True) for text in body["records"]
     )
--- a/sesamecross/ports/service_http.py
+++ b/sesamecross/ports/service_http.py
@@ -1,7 +1,7 @@
-"""A plain service over HTTP: any method, any body.
+"""Client of plain services over HTTP, for any method and body.
 
-Why: some of its calls may not be repeated, so every failure says whether
-the call may have been acted on.
+Some calls are not idempotent, so each failure tells whether the call may have
+been executed.
 """
 
 import dataclasses
@@ -25,12 +25,12 @@
     request_id: str
 
 
-# An answer larger than this is not relayed; services answer small documents.
+# Larger responses are not relayed; services return small documents.
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 
 
 class HttpService:
-    """All plain services; each call names the one it goes to."""
+    """Client of all plain services; each call contains its URL."""
 
     __slots__ = ("_pool",)
 
@@ -42,9 +42,9 @@
     ) -> data.Answer | http_client.NotSent | http_client.Failed:
         """Dispatches the call once.
 
-        A call that may not be repeated goes over a connection of its own.
-        On a kept-alive connection that the service is just closing, the
-        call would end in doubt though the service never saw it.
+        A call that is not idempotent gets its own connection. On a keep-alive
+        connection that the service is just closing, the call's outcome would be
+        unknown although the service never received it.
         """
         headers = dict(call.headers)
         headers["X-Request-Id"] = call.request_id
--- a/sesamecross/ports/sse.py
+++ b/sesamecross/ports/sse.py
@@ -1,7 +1,7 @@
 """Splits a byte stream into server-sent events.
 
-Why: events arrive in pieces and several at a time, and a relay must pass on
-whole events only, so that a failed upstream never leaves half of one.
+Events arrive in fragments and several at a time. A relay must forward complete
+events only, so that a failed upstream never leaves a partial one.
 """
 
 import dataclasses
@@ -9,42 +9,42 @@
 MAX_EVENT_BYTES = 1024 * 1024
 
 
-class EventTooLarge(Exception):
-    """The upstream sent an event without end."""
+class EventTooLargeError(Exception):
+    """The upstream sent an event over `MAX_EVENT_BYTES`."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One event: its `data` lines joined, and its `id` or empty."""
+    """One event: its joined `data` lines, and its `id`, which may be empty."""
 
     data: bytes
     event_id: bytes
 
 
-class Splitter:
-    """Keeps the unfinished rest between pieces."""
+class EventParser:
+    """Incremental parser that buffers an incomplete event between chunks."""
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_buffer",)
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, chunk: bytes) -> list[Event]:
         """Returns the events completed by `chunk`.
 
         Raises:
-          EventTooLarge: The unfinished event is over its bound.
+          EventTooLargeError: The incomplete event is over `MAX_EVENT_BYTES`.
         """
-        # The two bytes of a line's end may arrive in two pieces.
-        data = (self._rest + chunk).replace(b"\r\n", b"\n")
+        # The two bytes of a line ending may arrive in separate chunks.
+        data = (self._buffer + chunk).replace(b"\r\n", b"\n")
         parts = data.split(b"\n\n")
-        self._rest = parts.pop()
-        if len(self._rest) > MAX_EVENT_BYTES:
-            raise EventTooLarge(f"event over {MAX_EVENT_BYTES} bytes")
-        return [_event(part) for part in parts if part.strip(b"\n")]
+        self._buffer = parts.pop()
+        if len(self._buffer) > MAX_EVENT_BYTES:
+            raise EventTooLargeError(f"event over {MAX_EVENT_BYTES} bytes")
+        return [_parse_event(part) for part in parts if part.strip(b"\n")]
 
 
-def _event(block: bytes) -> Event:
+def _parse_event(block: bytes) -> Event:
     data = []
     event_id = b""
     for line in block.split(b"\n"):
--- a/sesamecross/ports/sse_test.py
+++ b/sesamecross/ports/sse_test.py
@@ -1,4 +1,4 @@
-"""Tests of the event splitter: the same events however bytes are cut."""
+"""Tests of the event parser: the result does not depend on the chunks."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -21,16 +21,16 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
-def test_any_cuts_give_the_same_events(cuts):
-    splitter = sse.Splitter()
-    found = []
-    places = [0, *sorted(cuts), len(STREAM)]
-    for start, end in zip(places, places[1:], strict=False):
-        found += splitter.feed(STREAM[start:end])
-    assert found == EVENTS
+def test_any_chunks_give_the_same_events(cuts):
+    parser = sse.EventParser()
+    events = []
+    positions = [0, *sorted(cuts), len(STREAM)]
+    for start, end in zip(positions, positions[1:], strict=False):
+        events += parser.feed(STREAM[start:end])
+    assert events == EVENTS
 
 
-def test_an_event_without_end_is_refused():
-    splitter = sse.Splitter()
-    with pytest.raises(sse.EventTooLarge):
-        splitter.feed(b"data: " + b"x" * (sse.MAX_EVENT_BYTES + 1))
+def test_an_event_without_end_is_rejected():
+    parser = sse.EventParser()
+    with pytest.raises(sse.EventTooLargeError):
+        parser.feed(b"data: " + b"x" * (sse.MAX_EVENT_BYTES + 1))
--- a/sesamecross/ports/store.py
+++ b/sesamecross/ports/store.py
@@ -1,8 +1,8 @@
-"""The store of a platform that keeps a log and the newest record of each key.
+"""Interface of the platform's store: a log with the newest record of each key.
 
-Why: what has to be agreed or kept goes through the platform's store, and the
-parts that use it must not know its wire form. This file holds the records
-that calls and answers are made of; an adapter turns them into HTTP.
+All shared or durable state goes through this store, and its users must not
+depend on its wire format. This module defines the calls and their results; an
+adapter converts them from and to HTTP.
 """
 
 import dataclasses
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """A record of a keyed topic. `value` is None where the key is dropped."""
+    """A record of a keyed topic. `value` is None if the key is deleted."""
 
     key: str
     value: bytes | None
@@ -33,8 +33,9 @@
     """One page of the newest records of a keyed topic.
 
     Attributes:
-      end: The offset behind the topic's last record. Pages are read one by
-        one and are no snapshot: following goes on from the first page's end.
+      end: The offset after the topic's last record. Pages are read one by one
+        and are not a snapshot, so following continues from the first page's
+        end.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -44,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Page:
-    """Records from an offset on. `next_offset` is where to read on."""
+    """Records from an offset on. `next_offset` is where reading continues."""
 
     records: tuple[KeyedRecord, ...]
     next_offset: int
@@ -52,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Expired:
-    """The records asked for are gone; what is kept begins at `first`."""
+    """The requested records have expired; `first` is the oldest retained."""
 
     first: int
 
@@ -73,14 +74,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotDone:
-    """The store's own word, or a failed connection: nothing was done."""
+    """Nothing was done: the store said so, or the connection failed."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unknown:
-    """No answer: the call may have been carried out, or may be later."""
+    """No answer: the call may have been executed, or may be later."""
 
     reason: str
 
@@ -91,19 +92,19 @@
 
 
 class StoreCodec(Protocol):
-    """Turns calls into HTTP and answers into records."""
+    """Converts calls to HTTP requests, and responses to results."""
 
     def newest(self, topic: str, after: str) -> StoreCall:
         """Returns the call that lists the newest record of each key."""
 
     def newest_answer(self, status: int, body: bytes) -> NewestOutcome:
-        """Reads its answer."""
+        """Decodes the response to `newest`."""
 
     def read(self, topic: str, offset: int, wait_s: float) -> StoreCall:
-        """Returns the call that reads on, waiting for a record to come."""
+        """Returns the call that reads from an offset, waiting for a record."""
 
     def read_answer(self, status: int, body: bytes, offset: int) -> ReadOutcome:
-        """Reads its answer."""
+        """Decodes the response to `read`."""
 
     def append(
         self, topic: str, key: str, value: bytes | None, at: int | None
@@ -111,11 +112,12 @@
         """Returns the call that appends one keyed record.
 
         Args:
-          topic: A topic of the system's own.
+          topic: One of the system's own topics.
           key: The record's key.
-          value: None drops the key.
-          at: Append only if the topic ends there; None appends in any case.
+          value: None deletes the key.
+          at: Append only if the topic ends at this offset; None appends
+            unconditionally.
         """
 
     def append_answer(self, status: int, body: bytes) -> AppendOutcome:
-        """Reads its answer."""
+        """Decodes the response to `append`."""
