--- a/sesamecross/transport/__init__.py
+++ b/sesamecross/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Authenticated msgpack streams between the system's processes."""
+"""Authenticated streams of msgpack messages between the system's processes."""
--- a/sesamecross/transport/frames.py
+++ b/sesamecross/transport/frames.py
@@ -1,11 +1,11 @@
-"""Frames on a stream: bounded, numbered and authenticated.
+"""Framing of streams: bounded, numbered and authenticated frames.
 
-Why: the ports of the system's own streams are open to whoever reaches the
-network. A frame is `length (4 bytes) | MAC (16 bytes) | payload`; the MAC is
-keyed for the session and covers direction and number, so that a frame can't
-be forged, replayed, reordered or reflected. The payload is not secret.
+The ports of the system's own streams are reachable by anyone on the network. A
+frame is `length (4 bytes) | MAC (16 bytes) | payload`. The MAC has a key for
+each session and direction and covers the frame's number, so that a frame can't
+be forged, replayed, reordered or reflected. The payload is not encrypted.
 
-Pure: no sockets here, so that the decoder can be fuzzed.
+This module does no I/O, so that it can be fuzzed.
 """
 
 import hashlib
@@ -21,26 +21,26 @@
 
 
 class FrameError(Exception):
-    """The other side sent bytes that are no valid frame."""
+    """The peer sent an invalid frame."""
 
 
-class Sealer:
-    """Makes the frames of one direction of a session."""
+class FrameSigner:
+    """Creates the frames of one direction of a session."""
 
-    __slots__ = ("_key", "_number")
+    __slots__ = ("_key", "_sequence")
 
     def __init__(self, key: bytes):
         self._key = key
-        self._number = 0
+        self._sequence = 0
 
     def mac(self, payload: bytes) -> bytes:
-        """Returns the MAC of the next payload and counts it."""
-        number = self._number.to_bytes(8, "big")
-        self._number += 1
-        whole = hmac.digest(self._key, number + payload, "sha256")
-        return whole[:MAC_BYTES]
+        """Returns the MAC of the next frame; increments the frame number."""
+        sequence = self._sequence.to_bytes(8, "big")
+        self._sequence += 1
+        digest = hmac.digest(self._key, sequence + payload, "sha256")
+        return digest[:MAC_BYTES]
 
-    def seal(self, payload: bytes) -> bytes:
+    def sign(self, payload: bytes) -> bytes:
         """Returns the frame that carries `payload`."""
         if len(payload) > MAX_FRAME_BYTES:
             raise FrameError(f"frame of {len(payload)} bytes is too large")
@@ -48,35 +48,35 @@
         return length + self.mac(payload) + payload
 
 
-class Opener:
-    """Checks the frames of the other direction."""
+class FrameVerifier:
+    """Verifies the frames of the other direction."""
 
-    __slots__ = ("_sealer",)
+    __slots__ = ("_signer",)
 
     def __init__(self, key: bytes):
-        self._sealer = Sealer(key)
+        self._signer = FrameSigner(key)
 
-    def check(self, mac: bytes, payload: bytes) -> bytes:
+    def verify(self, mac: bytes, payload: bytes) -> bytes:
         """Returns the payload, or raises `FrameError`."""
-        if not hmac.compare_digest(mac, self._sealer.mac(payload)):
+        if not hmac.compare_digest(mac, self._signer.mac(payload)):
             raise FrameError("frame has a wrong MAC")
         return payload
 
 
-def length_of(header: bytes, limit: int) -> int:
-    """Returns the payload length in a header, or raises `FrameError`."""
+def payload_length(header: bytes, limit: int) -> int:
+    """Returns the payload length; raises `FrameError` if it is over `limit`."""
     (length,) = _LENGTH.unpack(header)
     if length > limit:
         raise FrameError(f"frame of {length} bytes is over {limit}")
     return length
 
 
-def plain_frame(payload: bytes) -> bytes:
-    """Returns a frame of the handshake, which has no MAC yet."""
+def handshake_frame(payload: bytes) -> bytes:
+    """Returns a handshake frame, which has no MAC."""
     return _LENGTH.pack(len(payload)) + payload
 
 
 def session_key(shared: bytes, label: str, *nonces: bytes) -> bytes:
-    """Returns a key for one purpose of one session."""
+    """Derives a session key for the purpose `label`."""
     message = label.encode() + b"\0" + b"".join(nonces)
     return hmac.new(shared, message, hashlib.sha256).digest()
--- a/sesamecross/transport/streams.py
+++ b/sesamecross/transport/streams.py
@@ -1,8 +1,8 @@
 """Authenticated streams of typed messages, on asyncio.
 
-Why: entry, steward, peers and operators speak over one kind of stream. Both
-sides prove that they know the shared key before any message is read; each
-side contributes a nonce, so that a recorded handshake is of no use.
+Entries, stewards, peers and operators all use these streams. Both sides prove
+that they know the shared key before any message is read. Each side contributes
+a nonce, so that a recorded handshake can't be replayed.
 """
 
 import asyncio
@@ -19,16 +19,16 @@
 from sesamecross.transport import frames
 
 NONCE_BYTES = 16
-HANDSHAKE_S = 5.0
-# A peer that reads nothing for this long while we have something to say is
-# dropped, so that a stalled link can't hold memory.
-SEND_S = 10.0
+HANDSHAKE_TIMEOUT_S = 5.0
+# A peer that does not read pending data for this long is disconnected, so that
+# a stalled connection can't hold memory.
+SEND_TIMEOUT_S = 10.0
 
 
 @codec.register
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hello:
-    """First message of a client: who it says it is."""
+    """First message of a client, with the identity that it claims."""
 
     role: str
     name: str
@@ -54,47 +54,47 @@
 
 
 class StreamClosedError(Exception):
-    """The stream ended, failed, or carried something invalid."""
+    """The stream ended, failed, or received invalid data."""
 
 
 class StreamRefusedError(StreamClosedError):
-    """The address refuses connections: the process that had it is gone."""
+    """The address refuses connections: its process is gone."""
 
 
-class Stamper(Protocol):
-    """Gives and takes the stamps that every message carries."""
+class TimestampSource(Protocol):
+    """Issues and receives the timestamps that every message carries."""
 
     def now(self) -> hlc.Timestamp:
-        """Returns a stamp for a message that leaves."""
+        """Returns the timestamp of an outgoing message."""
 
-    def receive(self, stamp: hlc.Timestamp) -> None:
-        """Takes in the stamp of a message that arrived."""
+    def receive(self, timestamp: hlc.Timestamp) -> None:
+        """Merges the timestamp of an incoming message."""
 
 
-_STAMP_BYTES = 12
+_TIMESTAMP_BYTES = 12
 
 
-def _pack_stamp(stamp: hlc.Timestamp) -> bytes:
-    wall = stamp.wall_ms.to_bytes(8, "big")
-    return wall + (stamp.count & 0xFFFFFFFF).to_bytes(4, "big")
+def _pack_timestamp(timestamp: hlc.Timestamp) -> bytes:
+    wall = timestamp.wall_ms.to_bytes(8, "big")
+    return wall + (timestamp.count & 0xFFFFFFFF).to_bytes(4, "big")
 
 
-def _unpack_stamp(data: bytes) -> hlc.Timestamp:
+def _unpack_timestamp(data: bytes) -> hlc.Timestamp:
     wall = int.from_bytes(data[:8], "big")
-    return hlc.Timestamp(wall, int.from_bytes(data[8:_STAMP_BYTES], "big"))
+    return hlc.Timestamp(wall, int.from_bytes(data[8:_TIMESTAMP_BYTES], "big"))
 
 
 class Stream:
-    """One authenticated stream. `send` and `receive` may run side by side."""
+    """One authenticated stream. `send` and `receive` may run concurrently."""
 
     __slots__ = (
         "hello",
         "_reader",
         "_writer",
-        "_sealer",
-        "_opener",
-        "_lock",
-        "_stamper",
+        "_signer",
+        "_verifier",
+        "_send_lock",
+        "_timestamp_source",
     )
 
     def __init__(
@@ -104,28 +104,30 @@
         writer: asyncio.StreamWriter,
         send_key: bytes,
         receive_key: bytes,
-        stamper: Stamper,
+        timestamp_source: TimestampSource,
     ):
-        self._stamper = stamper
+        self._timestamp_source = timestamp_source
         self.hello = hello
         self._reader = reader
         self._writer = writer
-        self._sealer = frames.Sealer(send_key)
-        self._opener = frames.Opener(receive_key)
-        self._lock = asyncio.Lock()
+        self._signer = frames.FrameSigner(send_key)
+        self._verifier = frames.FrameVerifier(receive_key)
+        self._send_lock = asyncio.Lock()
 
     async def send(self, message: Any) -> int:
-        """Sends a registered message; returns the bytes on the wire.
+        """Sends a registered message; returns the number of bytes sent.
 
         Raises:
-          StreamClosed: The other side is gone or does not read.
+          StreamClosedError: The peer is gone or does not read.
         """
-        payload = _pack_stamp(self._stamper.now()) + codec.encode(message)
+        payload = _pack_timestamp(self._timestamp_source.now()) + codec.encode(
+            message
+        )
         try:
-            async with self._lock:
-                frame = self._sealer.seal(payload)
+            async with self._send_lock:
+                frame = self._signer.sign(payload)
                 self._writer.write(frame)
-                await asyncio.wait_for(self._writer.drain(), SEND_S)
+                await asyncio.wait_for(self._writer.drain(), SEND_TIMEOUT_S)
         except (OSError, TimeoutError, frames.FrameError) as error:
             self.close()
             raise StreamClosedError(str(error)) from error
@@ -135,16 +137,16 @@
         """Returns the next message.
 
         Raises:
-          StreamClosed: The stream ended or carried something invalid; it
-            is closed then, as what follows can't be trusted.
+          StreamClosedError: The stream ended or received invalid data; it is
+            then closed, as later data can't be trusted.
         """
         try:
             payload = await self._receive_payload()
         except (OSError, EOFError, frames.FrameError) as error:
             self.close()
             raise StreamClosedError(str(error)) from error
-        self._stamper.receive(_unpack_stamp(payload))
-        match codec.decode(payload[_STAMP_BYTES:]):
+        self._timestamp_source.receive(_unpack_timestamp(payload))
+        match codec.decode(payload[_TIMESTAMP_BYTES:]):
             case Success(message):
                 return message
             case Failure(problem):
@@ -155,43 +157,59 @@
         header = await self._reader.readexactly(
             frames.LENGTH_BYTES + frames.MAC_BYTES
         )
-        length = frames.length_of(
+        length = frames.payload_length(
             header[: frames.LENGTH_BYTES], frames.MAX_FRAME_BYTES
         )
         payload = await self._reader.readexactly(length)
-        return self._opener.check(header[frames.LENGTH_BYTES :], payload)
+        return self._verifier.verify(header[frames.LENGTH_BYTES :], payload)
 
     def close(self) -> None:
-        """Ends the stream at once."""
+        """Closes the stream immediately."""
         self._writer.close()
 
 
-async def _read_plain(reader: asyncio.StreamReader, cls: type) -> Any:
+async def _read_handshake_message(
+    reader: asyncio.StreamReader, cls: type
+) -> Any:
     header = await reader.readexactly(frames.LENGTH_BYTES)
-    length = frames.length_of(header, frames.MAX_HANDSHAKE_BYTES)
+    length = frames.payload_length(header, frames.MAX_HANDSHAKE_BYTES)
     message = codec.decode(await reader.readexactly(length)).value_or(None)
     if not isinstance(message, cls):
         raise frames.FrameError(f"expected {cls.__name__}")
     return message
 
 
-def _write_plain(writer: asyncio.StreamWriter, message: Any) -> None:
-    writer.write(frames.plain_frame(codec.encode(message)))
+def _write_handshake_message(
+    writer: asyncio.StreamWriter, message: Any
+) -> None:
+    writer.write(frames.handshake_frame(codec.encode(message)))
 
 
 async def connect(
-    address: str, shared_key: str, role: str, name: str, stamper: Stamper
+    address: str,
+    shared_key: str,
+    role: str,
+    name: str,
+    timestamp_source: TimestampSource,
 ) -> Stream:
-    """Opens a stream to `address`, an IP number and port.
+    """Opens a stream to `address`, an IP address and port.
 
     Raises:
-      StreamClosed: Nobody answers there, or not with the shared key.
+      StreamClosedError: The peer does not answer or does not know the shared
+        key.
     """
     host, _, port = address.rpartition(":")
     try:
         return await asyncio.wait_for(
-            _connect(host, int(port), shared_key.encode(), role, name, stamper),
-            HANDSHAKE_S,
+            _connect(
+                host,
+                int(port),
+                shared_key.encode(),
+                role,
+                name,
+                timestamp_source,
+            ),
+            HANDSHAKE_TIMEOUT_S,
         )
     except ConnectionRefusedError as error:
         raise StreamRefusedError(f"{address}: refused") from error
@@ -202,22 +220,29 @@
 
 
 async def _connect(
-    host: str, port: int, key: bytes, role: str, name: str, stamper: Stamper
+    host: str,
+    port: int,
+    key: bytes,
+    role: str,
+    name: str,
+    timestamp_source: TimestampSource,
 ) -> Stream:
     reader, writer = await asyncio.open_connection(host, port)
     try:
         hello = Hello(role, name, secrets.token_bytes(NONCE_BYTES))
-        _write_plain(writer, hello)
-        challenge = await _read_plain(reader, Challenge)
+        _write_handshake_message(writer, hello)
+        challenge = await _read_handshake_message(reader, Challenge)
         nonces = (hello.nonce, challenge.nonce, codec.encode(hello))
         expected = frames.session_key(key, "server-proof", *nonces)
         if not secrets.compare_digest(expected, challenge.proof):
             raise frames.FrameError("the server does not know the shared key")
         proof = frames.session_key(key, "client-proof", *nonces)
-        _write_plain(writer, Proof(proof))
+        _write_handshake_message(writer, Proof(proof))
         to_server = frames.session_key(key, "to-server", *nonces)
         to_client = frames.session_key(key, "to-client", *nonces)
-        return Stream(hello, reader, writer, to_server, to_client, stamper)
+        return Stream(
+            hello, reader, writer, to_server, to_client, timestamp_source
+        )
     except BaseException:
         writer.close()
         raise
@@ -227,16 +252,17 @@
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
     shared_key: str,
-    stamper: Stamper,
+    timestamp_source: TimestampSource,
 ) -> Stream:
     """Answers a client's handshake on a new connection.
 
     Raises:
-      StreamClosed: The client did not prove that it knows the key in time.
+      StreamClosedError: The client did not prove in time that it knows the key.
     """
     try:
         return await asyncio.wait_for(
-            _accept(reader, writer, shared_key.encode(), stamper), HANDSHAKE_S
+            _accept(reader, writer, shared_key.encode(), timestamp_source),
+            HANDSHAKE_TIMEOUT_S,
         )
     except (OSError, EOFError, TimeoutError, frames.FrameError) as error:
         writer.close()
@@ -247,17 +273,17 @@
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
     key: bytes,
-    stamper: Stamper,
+    timestamp_source: TimestampSource,
 ) -> Stream:
-    hello = await _read_plain(reader, Hello)
+    hello = await _read_handshake_message(reader, Hello)
     nonce = secrets.token_bytes(NONCE_BYTES)
     nonces = (hello.nonce, nonce, codec.encode(hello))
     proof = frames.session_key(key, "server-proof", *nonces)
-    _write_plain(writer, Challenge(nonce, proof))
-    answer = await _read_plain(reader, Proof)
+    _write_handshake_message(writer, Challenge(nonce, proof))
+    answer = await _read_handshake_message(reader, Proof)
     expected = frames.session_key(key, "client-proof", *nonces)
     if not secrets.compare_digest(expected, answer.proof):
         raise frames.FrameError("the client does not know the shared key")
     to_server = frames.session_key(key, "to-server", *nonces)
     to_client = frames.session_key(key, "to-client", *nonces)
-    return Stream(hello, reader, writer, to_client, to_server, stamper)
+    return Stream(hello, reader, writer, to_client, to_server, timestamp_source)
--- a/sesamecross/transport/streams_test.py
+++ b/sesamecross/transport/streams_test.py
@@ -1,4 +1,4 @@
-"""Tests of the streams: who knows the key gets in, broken bytes do not."""
+"""Tests of streams: authentication, and rejection of invalid bytes."""
 
 import asyncio
 
@@ -17,14 +17,16 @@
 MESSAGE = messages.Done("r", True)
 
 
-def stamper():
+def timestamp_source():
     return timeline.Recorder("p", "z", clock.ManualClock(1000))
 
 
 async def serve(received, key=KEY):
     async def on_connect(reader, writer):
         try:
-            stream = await streams.accept(reader, writer, key, stamper())
+            stream = await streams.accept(
+                reader, writer, key, timestamp_source()
+            )
             while True:
                 received.append(await stream.receive())
                 await stream.send(received[-1])
@@ -38,45 +40,49 @@
     return server, f"127.0.0.1:{port}"
 
 
-def test_messages_go_both_ways():
-    async def story():
+def test_messages_are_exchanged_in_both_directions():
+    async def scenario():
         received = []
         server, address = await serve(received)
-        stream = await streams.connect(address, KEY, "peer", "me", stamper())
+        stream = await streams.connect(
+            address, KEY, "peer", "me", timestamp_source()
+        )
         for _ in range(3):
             await stream.send(MESSAGE)
             assert await stream.receive() == MESSAGE
         stream.close()
         server.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(("ours", "theirs"), [("x" * 16, KEY), (KEY, "y" * 16)])
-def test_a_wrong_key_gets_nowhere(ours, theirs):
-    async def story():
+def test_a_wrong_key_is_rejected(ours, theirs):
+    async def scenario():
         received = []
         server, address = await serve(received, theirs)
         with pytest.raises(streams.StreamClosedError):
-            await streams.connect(address, ours, "peer", "me", stamper())
+            await streams.connect(
+                address, ours, "peer", "me", timestamp_source()
+            )
         server.close()
         assert MESSAGE not in received
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 HOSTILE = [
     b"",
     b"\xff" * 40,
     b"GET / HTTP/1.1\r\n\r\n",
-    frames.plain_frame(b"\x93\x01\x02\x03"),
-    frames.plain_frame(b"x" * frames.MAX_HANDSHAKE_BYTES),
+    frames.handshake_frame(b"\x93\x01\x02\x03"),
+    frames.handshake_frame(b"x" * frames.MAX_HANDSHAKE_BYTES),
 ]
 
 
 @pytest.mark.parametrize("blob", HOSTILE)
-def test_hostile_bytes_end_the_connection_only(blob):
-    async def story():
+def test_hostile_bytes_end_only_their_connection(blob):
+    async def scenario():
         received = []
         server, address = await serve(received)
         host, port = address.split(":")
@@ -85,35 +91,37 @@
         writer.write_eof()
         assert await reader.read(1000) == b""
         writer.close()
-        stream = await streams.connect(address, KEY, "peer", "me", stamper())
+        stream = await streams.connect(
+            address, KEY, "peer", "me", timestamp_source()
+        )
         await stream.send(MESSAGE)
         assert await stream.receive() == MESSAGE
         stream.close()
         server.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.binary(min_size=1, max_size=60), st.integers(0, 200), st.data())
-def test_a_changed_frame_is_refused(payload, place, data):
-    frame = bytearray(frames.Sealer(b"k").seal(payload))
-    place %= len(frame)
+def test_a_changed_frame_is_rejected(payload, position, data):
+    frame = bytearray(frames.FrameSigner(b"k").sign(payload))
+    position %= len(frame)
     change = data.draw(st.integers(1, 255))
-    frame[place] ^= change
+    frame[position] ^= change
     header = bytes(frame[: frames.LENGTH_BYTES])
     mac = bytes(frame[frames.LENGTH_BYTES :][: frames.MAC_BYTES])
     body = bytes(frame[frames.LENGTH_BYTES + frames.MAC_BYTES :])
     with pytest.raises(frames.FrameError):
-        if frames.length_of(header, 100) != len(body):
+        if frames.payload_length(header, 100) != len(body):
             raise frames.FrameError("length")
-        frames.Opener(b"k").check(mac, body)
+        frames.FrameVerifier(b"k").verify(mac, body)
 
 
-def test_a_replayed_frame_is_refused():
-    sealer = frames.Sealer(b"k")
-    opener = frames.Opener(b"k")
-    mac = sealer.mac(b"once")
-    assert opener.check(mac, b"once") == b"once"
+def test_a_replayed_frame_is_rejected():
+    signer = frames.FrameSigner(b"k")
+    verifier = frames.FrameVerifier(b"k")
+    mac = signer.mac(b"once")
+    assert verifier.verify(mac, b"once") == b"once"
     with pytest.raises(frames.FrameError):
-        opener.check(mac, b"once")
+        verifier.verify(mac, b"once")
--- a/sesamecross/utils/__init__.py
+++ b/sesamecross/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers without knowledge of the domain."""
+"""Domain-independent helpers."""
--- a/sesamecross/utils/merge_patch.py
+++ b/sesamecross/utils/merge_patch.py
@@ -1,8 +1,8 @@
-"""Merge patches (RFC 7396) over plain trees.
+"""JSON merge patches (RFC 7396) over trees of dictionaries.
 
-Why: a published change must cost bytes in proportion to the change and not
-to the whole configuration. TOML has no null, so a patch can use None to
-remove a key without ambiguity.
+The size of a published change must be proportional to the change, not to the
+whole configuration. TOML has no null, so None in a patch unambiguously removes
+a key.
 """
 
 from typing import Any
@@ -26,7 +26,7 @@
 
 
 def apply(tree: Tree, patch: Tree) -> Tree:
-    """Returns `tree` with `patch` applied; neither argument is changed."""
+    """Returns `tree` with `patch` applied; the arguments are not modified."""
     result = dict(tree)
     for key, value in patch.items():
         if value is None:
--- a/sesamecross/utils/merge_patch_test.py
+++ b/sesamecross/utils/merge_patch_test.py
@@ -1,4 +1,4 @@
-"""Tests of merge patches against the definition."""
+"""Tests of merge patches against the definition in RFC 7396."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -28,7 +28,7 @@
 
 @settings(derandomize=True, max_examples=400, deadline=None)
 @given(TREE, TREE)
-def test_a_patch_leads_from_old_to_new(old, new):
+def test_a_patch_turns_old_into_new(old, new):
     assert merge_patch.apply(old, merge_patch.diff(old, new)) == new
 
 
