--- a/sesamecross/platform/settings.py
+++ b/sesamecross/platform/settings.py
@@ -24,7 +24,7 @@
 
 BOOT_VARIABLE = "SESAMECROSS_BOOT"
 SECONDS_PER_MS = 0.001
-# Longest accepted duration; the platform's own values are some seconds.
+# One day; the platform's own durations are seconds.
 MAX_DURATION_S = 86_400.0
 # Far above the counts of any deployment, and exact as a float.
 MAX_COUNT = 1e9
