--- a/sesamecross/gateway/client_connection.py
+++ b/sesamecross/gateway/client_connection.py
@@ -195,7 +195,7 @@
                 self._is_complete = True
                 self._finish_response()
             else:
-                self._fail("connection closed before the end of the response")
+                self._fail("closed before the whole answer")
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
