--- a/sesamecross/gateway/state_test.py
+++ b/sesamecross/gateway/state_test.py
@@ -1,4 +1,4 @@
-"""Tests of what new settings change in an instance's beliefs."""
+"""Tests of the effect of new settings on an instance's state."""
 
 import dataclasses
 
@@ -30,64 +30,66 @@
 )
 
 
-def bounds(**changes) -> serving.Instance:
+def instance_with_bounds(**changes) -> serving.Instance:
     changed = dataclasses.replace(INSTANCE.bounds, **changes)
     return dataclasses.replace(INSTANCE, bounds=changed)
 
 
-def spend_all(window, now_s: float) -> int:
-    """Spends until nothing is left; returns how often."""
-    return sum(window.spend(now_s, 1) for _ in range(1000))
+def spend_until_exhausted(budget, now_s: float) -> int:
+    """Spends until the budget is exhausted; returns the number of retries."""
+    return sum(budget.spend(now_s, 1) for _ in range(1000))
 
 
-def test_a_reload_does_not_give_the_retry_budget_again():
-    """Engines got several times the retries that all instances may send.
+def test_a_reload_does_not_reset_the_retry_budget():
+    """Engines got several times the retries that the budget allows.
 
-    They failed while settings changed a few times: each change of any bound
-    forgot what had been spent, and the whole budget was there once more. What
-    requests under way spent was counted where nobody looked any more. What
-    was spent is no setting, so it must outlive them.
+    They failed while settings were reloaded a few times. Each change of any
+    bound replaced the budget with an unspent one, and requests in progress
+    went on spending from the old one. The retries spent must survive a change
+    of settings.
     """
     state = state_lib.State(INSTANCE)
-    held = state.retry_budget(ROUTE)
-    allowed = spend_all(held, 100.0)
+    budget = state.retry_budget(ROUTE)
+    allowed = spend_until_exhausted(budget, 100.0)
     assert allowed > 0
-    again = 0
+    retries_after_reload = 0
     for number in range(1, 6):
-        state.apply_settings(bounds(drain_s=2.5 + number))
-        again += spend_all(state.retry_budget(ROUTE), 100.0 + number)
-        again += spend_all(held, 100.0 + number)
-    assert again == 0
+        state.apply_settings(instance_with_bounds(drain_s=2.5 + number))
+        retries_after_reload += spend_until_exhausted(
+            state.retry_budget(ROUTE), 100.0 + number
+        )
+        retries_after_reload += spend_until_exhausted(budget, 100.0 + number)
+    assert retries_after_reload == 0
 
 
-# The bounds that change, and whether more may be spent then.
+# The changed bounds, and whether more retries are allowed afterwards.
 CHANGES = [
     ({"retry_extra": 40.0}, True),
     ({"retry_extra": 2.0}, False),
     ({"retry_share": 1.0}, True),
     ({"retry_share": 0.0}, False),
-    # What was spent 2 s ago is forgotten by a window of 1 s.
+    # A window of 1 s no longer includes retries of 2 s ago.
     ({"retry_window_s": 1.0}, True),
 ]
 
 
-@pytest.mark.parametrize(("changes", "is_more"), CHANGES)
-def test_new_figures_of_the_retry_budget_hold_for_requests_under_way(
-    changes, is_more
+@pytest.mark.parametrize(("changes", "has_more"), CHANGES)
+def test_a_changed_retry_budget_applies_to_requests_in_progress(
+    changes, has_more
 ):
-    """A changed retry budget did not hold for requests under way."""
+    """A changed retry budget did not apply to requests in progress."""
     state = state_lib.State(INSTANCE)
-    held = state.retry_budget(ROUTE)
+    budget = state.retry_budget(ROUTE)
     for _ in range(100):
-        held.request(100.0)
-    assert spend_all(held, 100.0) > 0
-    state.apply_settings(bounds(**changes))
-    assert (spend_all(held, 102.0) > 0) is is_more
+        budget.request(100.0)
+    assert spend_until_exhausted(budget, 100.0) > 0
+    state.apply_settings(instance_with_bounds(**changes))
+    assert (spend_until_exhausted(budget, 102.0) > 0) is has_more
 
 
-def test_a_smaller_retry_budget_holds_at_once():
+def test_a_smaller_retry_budget_applies_at_once():
     state = state_lib.State(INSTANCE)
     for _ in range(100):
         state.retry_budget(ROUTE).request(100.0)
-    state.apply_settings(bounds(retry_extra=0.0, retry_share=0.0))
-    assert spend_all(state.retry_budget(ROUTE), 100.0) <= 1
+    state.apply_settings(instance_with_bounds(retry_extra=0.0, retry_share=0.0))
+    assert spend_until_exhausted(state.retry_budget(ROUTE), 100.0) <= 1
