--- a/sesamecross/devtools/runner.py
+++ b/sesamecross/devtools/runner.py
@@ -48,7 +48,7 @@
         A signal raises `StopAsked` in the tool, which may take it to report
         what it stopped; otherwise the code is 128 and the signal's number.
         """
-        signals.take_for_tool(self._on_signal)
+        signals.install_cli_handler(self._on_signal)
         try:
             try:
                 return tool(self)
--- a/sesamecross/entry/app.py
+++ b/sesamecross/entry/app.py
@@ -33,7 +33,7 @@
         self, settings: settings_lib.EntrySettings, clock: clock_lib.Clock
     ):
         self._settings = settings
-        self._logger = logs.part("entry")
+        self._logger = logs.get_logger("entry")
         self.recorder = timeline.Recorder(
             f"entry/{settings.instance}", settings.zone, clock
         )
@@ -100,7 +100,7 @@
         as not run.
         """
         self._state.stopping = True
-        self._http.leave()
+        self._http.disable_keep_alive()
         self.recorder.add(timeline.EventKind.DRAIN, "readiness fails")
         await asyncio.sleep(self._settings.balancer_lag_ms / 1000)
         self._state.refuse_calls()
--- a/sesamecross/entry/http_app.py
+++ b/sesamecross/entry/http_app.py
@@ -98,7 +98,7 @@
         self._clock = clock
         self._recorder = recorder
         self._metrics = metrics
-        self._logger = logs.part("http")
+        self._logger = logs.get_logger("http")
 
     def __call__(self, environ: dict, start_response: Any) -> Iterable[bytes]:
         """Answers one request."""
@@ -187,14 +187,14 @@
                 self._state.active,
             )
             body, content_type = self._metrics.render()
-            return http_server.answer(
+            return http_server.send_response(
                 start_response, "200 OK", body, content_type
             )
         if request.path == "/healthz":
-            return http_server.answer_json(start_response, {"ok": True})
+            return http_server.send_json(start_response, {"ok": True})
         known = self._state.known
         ready = known is not None and not self._state.stopping
-        return http_server.answer_json(
+        return http_server.send_json(
             start_response,
             {"ready": ready, "version": known.version if known else 0},
             _status_line(200 if ready else 503),
@@ -269,7 +269,7 @@
             if model_request.may_use(caller, adapter.name)
             or model_request.may_use(caller, adapter.model)
         ]
-        return http_server.answer_json(
+        return http_server.send_json(
             start_response, answers.model_list(sorted(names))
         )
 
--- a/sesamecross/entry/pump.py
+++ b/sesamecross/entry/pump.py
@@ -186,7 +186,7 @@
         return transfer.ending
 
     def _run(self) -> None:
-        log = logs.part("pump")
+        log = logs.get_logger("pump")
         swept_s = 0.0
         while True:
             ready = self._selector.select(SWEEP_S)
--- a/sesamecross/entry/state.py
+++ b/sesamecross/entry/state.py
@@ -47,7 +47,7 @@
         self._of_caller: dict[str, int] = {}
         self._demand: dict[str, int] = {}
         self._recorder = recorder
-        self._logger = logs.part("entry")
+        self._logger = logs.get_logger("entry")
         self._refusing = False
         self.stopping = False
 
--- a/sesamecross/entry/steward_link.py
+++ b/sesamecross/entry/steward_link.py
@@ -39,7 +39,7 @@
         self._recorder = recorder
         self._on_view = on_view
         self._take_demand = take_demand
-        self._logger = logs.part("steward-link")
+        self._logger = logs.get_logger("steward-link")
         self._loop: asyncio.AbstractEventLoop | None = None
         self._stream: streams.Stream | None = None
         self._replies: dict[str, asyncio.Future] = {}
--- a/sesamecross/fakes/base.py
+++ b/sesamecross/fakes/base.py
@@ -164,8 +164,10 @@
 
 
 def run(
-    flags: argparse.Namespace, server: FakeServer, inbox: signals.Inbox
+    flags: argparse.Namespace,
+    server: FakeServer,
+    pending_signals: signals.PendingSignals,
 ) -> int:
     """Runs a fake's process to its end."""
     logs.configure(flags.log_level, "json", instance=flags.name)
-    return application.Application(server, inbox).run()
+    return application.Application(server, pending_signals).run()
--- a/sesamecross/gateway/app.py
+++ b/sesamecross/gateway/app.py
@@ -85,7 +85,7 @@
     ):
         self._instance = instance
         self._adapter = adapter
-        self._log = logs.part("gateway")
+        self._log = logs.get_logger("gateway")
         self._rng = random.Random(os.urandom(8))
         self.metrics = metrics_lib.Metrics()
         self.state = state_lib.State(instance)
--- a/sesamecross/gateway/app_test.py
+++ b/sesamecross/gateway/app_test.py
@@ -860,7 +860,7 @@
         ]
         tree = supervisor.Supervisor(listeners)
         tree.start()
-        failed = asyncio.create_task(tree.failed())
+        failed = asyncio.create_task(tree.wait_for_failure())
         await wait_until(lambda: app.front.address)
         # The metrics listener fails in the same loop iterations in which the
         # front listener binds its port.
--- a/sesamecross/gateway/catalog.py
+++ b/sesamecross/gateway/catalog.py
@@ -35,7 +35,7 @@
         self._state = state
         self._key = key
         self._decode = decode
-        self._log = logs.part("configuration")
+        self._log = logs.get_logger("configuration")
         self.raw = topic_records.TopicRecords()
 
     @property
@@ -85,7 +85,7 @@
     def __init__(self, state: state_lib.State, decode: UpstreamDecoder):
         self._state = state
         self._decode = decode
-        self._log = logs.part("upstreams")
+        self._log = logs.get_logger("upstreams")
         self.raw = topic_records.TopicRecords()
 
     @property
--- a/sesamecross/gateway/engine_tracker.py
+++ b/sesamecross/gateway/engine_tracker.py
@@ -151,7 +151,7 @@
         self._metrics = metrics
         self._spawn = spawn
         self._wake = wake
-        self._log = logs.part("orders")
+        self._log = logs.get_logger("orders")
         self._tracked: dict[str, TrackedEngine] = {}
 
     def __getitem__(self, instance_id: str) -> TrackedEngine:
--- a/sesamecross/gateway/follower.py
+++ b/sesamecross/gateway/follower.py
@@ -90,7 +90,7 @@
         self._topic = topic
         self._sink = sink
         self._rng = rng
-        self._log = logs.part("follower")
+        self._log = logs.get_logger("follower")
         self._offset: int | None = None
         self._reachable: bool | None = None
         self._backoff_s = INITIAL_BACKOFF_S
--- a/sesamecross/gateway/forwarder.py
+++ b/sesamecross/gateway/forwarder.py
@@ -71,7 +71,7 @@
         self._connection_pool = connection_pool
         self._rng = rng
         self._metrics = metrics
-        self._log = logs.part("request")
+        self._log = logs.get_logger("request")
         self._open_tasks: set[_RequestTask] = set()
         self.search_context = engine_search.SearchContext(state, rng)
         self.uses = target_uses.TargetUses()
--- a/sesamecross/gateway/lease_manager.py
+++ b/sesamecross/gateway/lease_manager.py
@@ -74,7 +74,7 @@
         self._topic = topic
         self._mesh = mesh
         self._gap_s = gap_s
-        self._log = logs.part("lease")
+        self._log = logs.get_logger("lease")
         self._last_probe_s = 0.0
         self._was_holding = False
         self.release_timeout_s = RELEASE_TIMEOUT_S
--- a/sesamecross/gateway/mesh.py
+++ b/sesamecross/gateway/mesh.py
@@ -121,7 +121,7 @@
         self._state = state
         self._report_source = report_source
         self._metrics = metrics
-        self._log = logs.part("mesh")
+        self._log = logs.get_logger("mesh")
         self.transport: asyncio.DatagramTransport | None = None
         self.roster: roster_lib.Roster | None = None
         self._secret = b""
--- a/sesamecross/gateway/placement_controller.py
+++ b/sesamecross/gateway/placement_controller.py
@@ -81,7 +81,7 @@
         self._lease = lease
         self._client = client
         self._metrics = metrics
-        self._log = logs.part("orders")
+        self._log = logs.get_logger("orders")
         self._tracker = engine_tracker.EngineTracker(
             state,
             client,
--- a/sesamecross/gateway/registrar.py
+++ b/sesamecross/gateway/registrar.py
@@ -60,7 +60,7 @@
         self._instance = instance
         self._address = address
         self._rng = rng
-        self._log = logs.part("registrar")
+        self._log = logs.get_logger("registrar")
 
     async def join(self) -> JoinResult:
         """Returns once this start is registered, however long that takes."""
--- a/sesamecross/gateway/reloader.py
+++ b/sesamecross/gateway/reloader.py
@@ -62,7 +62,7 @@
         self._source = source
         self._sleep = sleep
         self._wake = asyncio.Event()
-        self._log = logs.part("settings")
+        self._log = logs.get_logger("settings")
         # The last error that was logged, so that it is logged once.
         self._last_error = ""
         # The content whose settings were last applied.
--- a/sesamecross/gateway/store_proxy.py
+++ b/sesamecross/gateway/store_proxy.py
@@ -103,7 +103,7 @@
         self._client = client
         self._mesh = mesh
         self._stamper = hlc.HybridClock(clock_lib.SystemClock())
-        self._log = logs.part("store proxy")
+        self._log = logs.get_logger("store proxy")
         self._stream: streams.Stream | None = None
         self._peer_address = ""
 
--- a/sesamecross/gateway/sweeper.py
+++ b/sesamecross/gateway/sweeper.py
@@ -25,7 +25,7 @@
     ):
         self._state = state
         self._connection_pool = connection_pool
-        self._log = logs.part("upstreams")
+        self._log = logs.get_logger("upstreams")
 
     async def run(self) -> None:
         """Cleans up until cancelled."""
--- a/sesamecross/gateway/sync.py
+++ b/sesamecross/gateway/sync.py
@@ -143,7 +143,7 @@
         self._state = state
         self._catalog = catalog
         self._stamper = hlc.HybridClock(clock_lib.SystemClock())
-        self._log = logs.part("sync")
+        self._log = logs.get_logger("sync")
         self._lag = store_polling.Lag()
         self._stream: streams.Stream | None = None
         self._source_address = ""
--- a/sesamecross/operators/command_line.py
+++ b/sesamecross/operators/command_line.py
@@ -21,14 +21,14 @@
 from sesamecross.operators import losses
 from sesamecross.operators import outcomes
 from sesamecross.operators import status_text
-from sesamecross.operators import timeline_forms
+from sesamecross.operators import timeline_formats
 from sesamecross.ops import timeline
 from sesamecross.runtime import signals
 from sesamecross.utils import digest
 
 LOG_VARIABLE = "SESAMECROSS_LOG"
 KEY_VARIABLE = "SESAMECROSS_SHARED_KEY"
-WATCH_S = 1.0
+WATCH_INTERVAL_S = 1.0
 CLEAR_SCREEN = "\x1b[H\x1b[2J"
 
 
@@ -168,8 +168,8 @@
         self._stdin = stdin
         self._stdout = stdout
         self._stderr = stderr
-        self._interrupted = outcomes.InterruptedAnswer(
-            outcomes.failed(outcomes.Exit.PROBLEMS, [_NOTHING_CHANGED])
+        self._interrupted = outcomes.InterruptOutcome(
+            outcomes.failed(outcomes.ExitCode.PROBLEMS, [_NOTHING_CHANGED])
         )
         self._as_json = False
         # An interruption is raised only where `run` answers it.
@@ -209,7 +209,9 @@
         try:
             return self._dispatch(flags)
         except errors.ProblemError as error:
-            return outcomes.failed(outcomes.Exit.UNREACHABLE, [error.problem])
+            return outcomes.failed(
+                outcomes.ExitCode.UNREACHABLE, [error.problem]
+            )
 
     def _print(self, outcome: outcomes.Outcome) -> None:
         try:
@@ -320,24 +322,30 @@
 
     def _key_digest(self) -> outcomes.Outcome:
         text = digest.of_bearer_key(self._stdin.readline().strip())
-        return outcomes.Outcome(outcomes.Exit.OK, {"key_digest": text}, (text,))
+        return outcomes.Outcome(
+            outcomes.ExitCode.OK, {"key_digest": text}, (text,)
+        )
 
     def _status(self, flags: argparse.Namespace) -> outcomes.Outcome:
         fleet = self._fleet(flags)
         if flags.watch:
             # That is how a watch ends.
             self._interrupted.outcome = outcomes.Outcome(
-                outcomes.Exit.OK, {}, ()
+                outcomes.ExitCode.OK, {}, ()
             )
         while flags.watch:
             text = status_text.lines(status_text.document(fleet.statuses()))
             print(CLEAR_SCREEN + "\n".join(text), file=self._stdout, flush=True)
-            time.sleep(WATCH_S)
+            time.sleep(WATCH_INTERVAL_S)
         document = status_text.document(fleet.statuses())
         states = {one["state"] for one in document["instances"].values()}
-        code = outcomes.Exit.OK if states <= {"ok"} else outcomes.Exit.PARTIAL
+        code = (
+            outcomes.ExitCode.OK
+            if states <= {"ok"}
+            else outcomes.ExitCode.PARTIAL
+        )
         if not document["instances"]:
-            code = outcomes.Exit.UNREACHABLE
+            code = outcomes.ExitCode.UNREACHABLE
         return outcomes.Outcome(
             code, document, tuple(status_text.lines(document))
         )
@@ -361,14 +369,14 @@
         document = {
             "events": [
                 json.loads(line)
-                for line in timeline_forms.as_json_lines(merged)
+                for line in timeline_formats.as_json_lines(merged)
             ],
             "missing": missing,
         }
         if flags.output:
             flags.output.write_text("\n".join(lines) + "\n", encoding="utf-8")
             lines = [f"{len(merged)} events are in {flags.output}"]
-        code = outcomes.Exit.PARTIAL if missing else outcomes.Exit.OK
+        code = outcomes.ExitCode.PARTIAL if missing else outcomes.ExitCode.OK
         problems = tuple(
             errors.Problem(
                 name,
@@ -385,15 +393,15 @@
         self, log: log_state.LogState, record: object, line: str
     ) -> outcomes.Outcome:
         self._interrupted.outcome = outcomes.failed(
-            outcomes.Exit.NOT_KNOWN_YET, [_MAYBE]
+            outcomes.ExitCode.NOT_KNOWN_YET, [_MAYBE]
         )
         appended = log.append(record)
         if isinstance(appended, Failure):
             return outcomes.failed(
-                outcomes.Exit.NOT_KNOWN_YET, [appended.failure()]
+                outcomes.ExitCode.NOT_KNOWN_YET, [appended.failure()]
             )
         return outcomes.Outcome(
-            outcomes.Exit.OK, {"offset": appended.unwrap()}, (line,)
+            outcomes.ExitCode.OK, {"offset": appended.unwrap()}, (line,)
         )
 
     def _claims(self, flags: argparse.Namespace) -> outcomes.Outcome:
@@ -428,7 +436,7 @@
                 "see `status` for the upstreams",
                 errors.Kind.DANGLING_NAME,
             )
-            return outcomes.failed(outcomes.Exit.PROBLEMS, [problem])
+            return outcomes.failed(outcomes.ExitCode.PROBLEMS, [problem])
         marked = records.DrainMarked(
             flags.upstream, not flags.end, flags.author
         )
@@ -465,7 +473,7 @@
         "see `status` and the declarations; nothing was changed",
         errors.Kind.REFUSED,
     )
-    return outcomes.failed(outcomes.Exit.PROBLEMS, [problem])
+    return outcomes.failed(outcomes.ExitCode.PROBLEMS, [problem])
 
 
 def _timeline_lines(
@@ -473,12 +481,12 @@
 ) -> list[str]:
     match form:
         case "jsonl":
-            return timeline_forms.as_json_lines(events)
+            return timeline_formats.as_json_lines(events)
         case "trace":
-            return [timeline_forms.as_trace(events)]
+            return [timeline_formats.as_trace(events)]
         case "html":
-            return [timeline_forms.as_page(events, missing)]
-    return timeline_forms.as_text(events)
+            return [timeline_formats.as_page(events, missing)]
+    return timeline_formats.as_text(events)
 
 
 def _drop(stream: TextIO) -> None:
@@ -491,5 +499,5 @@
 def main(environment: Mapping[str, str]) -> int:
     """Runs the command on the process's own streams."""
     command = CommandLine(environment, sys.stdin, sys.stdout, sys.stderr)
-    signals.take_for_tool(command.interrupt)
+    signals.install_cli_handler(command.interrupt)
     return command.run(sys.argv[1:])
--- a/sesamecross/operators/configuration.py
+++ b/sesamecross/operators/configuration.py
@@ -20,11 +20,11 @@
 from sesamecross.utils import digest
 from sesamecross.utils import merge_patch
 
-Say = Callable[[str], None]
-VERDICT_WAIT_S = 5.0
-VERDICT_STEP_S = 0.05
-FORCE_WAIT_S = 30.0
-FORCE_STEP_S = 0.1
+ReportProgress = Callable[[str], None]
+VERDICT_TIMEOUT_S = 5.0
+VERDICT_POLL_S = 0.05
+ROLLOUT_TIMEOUT_S = 30.0
+ROLLOUT_POLL_S = 0.1
 
 
 def check(folder: pathlib.Path) -> outcomes.Outcome:
@@ -35,7 +35,7 @@
         count = len(problems)
         noun = "problem" if count == 1 else "problems"
         return outcomes.Outcome(
-            outcomes.Exit.PROBLEMS,
+            outcomes.ExitCode.PROBLEMS,
             {"ok": False, "problems": problems},
             (f"{count} {noun}; nothing was changed",),
             checked.problems,
@@ -51,25 +51,25 @@
     }
     text = ", ".join(f"{number} {name}" for name, number in counts.items())
     return outcomes.Outcome(
-        outcomes.Exit.OK, {"ok": True, "counts": counts}, (f"good: {text}",)
+        outcomes.ExitCode.OK, {"ok": True, "counts": counts}, (f"good: {text}",)
     )
 
 
-def leaves(tree: dict, prefix: tuple[str, ...] = ()) -> dict[str, Any]:
+def flatten(tree: dict, prefix: tuple[str, ...] = ()) -> dict[str, Any]:
     """Returns a tree's values by dotted key."""
     found = {}
     for key, value in tree.items():
         path = (*prefix, key)
         if isinstance(value, dict) and value:
-            found.update(leaves(value, path))
+            found.update(flatten(value, path))
         else:
             found[".".join(path)] = value
     return found
 
 
 def _changes(old: dict, new: dict) -> list[dict[str, Any]]:
-    before = leaves(old)
-    after = leaves(new)
+    before = flatten(old)
+    after = flatten(new)
     return [
         {"key": key, "old": before.get(key), "new": after.get(key)}
         for key in sorted(before.keys() | after.keys())
@@ -96,13 +96,13 @@
     """Shows what publishing the folder would change."""
     checked = folder_lib.check(folder)
     if checked.declarations is None:
-        return outcomes.failed(outcomes.Exit.PROBLEMS, checked.problems)
+        return outcomes.failed(outcomes.ExitCode.PROBLEMS, checked.problems)
     log = log_state.LogState.read(log_url)
     config = log.state.config.state
     changes = _changes(config.tree, checked.merged.tree)
     lines = _change_lines(changes) or ["no difference"]
     return outcomes.Outcome(
-        outcomes.Exit.OK,
+        outcomes.ExitCode.OK,
         {"version": config.version, "changes": changes},
         (f"against version {config.version}:", *lines),
     )
@@ -114,12 +114,12 @@
     path = tuple(key.split("."))
     settings = checked.merged.origins.get(path)
     if not settings:
-        near = [k for k in leaves(checked.merged.tree) if key in k][:5]
+        near = [k for k in flatten(checked.merged.tree) if key in k][:5]
         remedy = "see `check` for what is declared"
         if near:
             remedy = "did you mean " + " or ".join(near) + "?"
         problem = errors.Problem(str(folder), key, "is set by no file", remedy)
-        return outcomes.failed(outcomes.Exit.PROBLEMS, [problem])
+        return outcomes.failed(outcomes.ExitCode.PROBLEMS, [problem])
     value: Any = checked.merged.tree
     for part in path:
         value = value[part]
@@ -132,7 +132,7 @@
         for setting in reversed(settings[:-1])
     ]
     return outcomes.Outcome(
-        outcomes.Exit.OK,
+        outcomes.ExitCode.OK,
         {"key": key, "value": value, "set_by": history},
         tuple(lines),
     )
@@ -146,8 +146,8 @@
     base: int | None,
     change_id: str | None,
     fleet: fleet_lib.Fleet | None,
-    say: Say,
-    interrupted: outcomes.InterruptedAnswer,
+    say: ReportProgress,
+    interrupted: outcomes.InterruptOutcome,
 ) -> outcomes.Outcome:
     """Publishes a folder; waits for the log's verdict.
 
@@ -165,7 +165,7 @@
     """
     checked = folder_lib.check(folder)
     if checked.declarations is None:
-        return outcomes.failed(outcomes.Exit.PROBLEMS, checked.problems)
+        return outcomes.failed(outcomes.ExitCode.PROBLEMS, checked.problems)
     return _publish_tree(
         checked.merged.tree,
         log_url,
@@ -184,8 +184,8 @@
     log_url: str,
     author: str,
     fleet: fleet_lib.Fleet | None,
-    say: Say,
-    interrupted: outcomes.InterruptedAnswer,
+    say: ReportProgress,
+    interrupted: outcomes.InterruptOutcome,
 ) -> outcomes.Outcome:
     """Publishes an older version's content as a new version."""
     log = log_state.LogState.read(log_url)
@@ -200,7 +200,7 @@
             " or publish its folder",
             errors.Kind.EXPIRED,
         )
-        return outcomes.failed(outcomes.Exit.PROBLEMS, [problem])
+        return outcomes.failed(outcomes.ExitCode.PROBLEMS, [problem])
     return _publish_tree(
         tree,
         log_url,
@@ -227,8 +227,8 @@
     base: int | None,
     change_id: str,
     fleet: fleet_lib.Fleet | None,
-    say: Say,
-    interrupted: outcomes.InterruptedAnswer,
+    say: ReportProgress,
+    interrupted: outcomes.InterruptOutcome,
 ) -> outcomes.Outcome:
     log = log_state.LogState.read(log_url)
     # From here on the record may be on its way; the change id tells later.
@@ -238,12 +238,12 @@
     if verdict is None:
         return not_known_yet
     outcome = _verdict_outcome(verdict)
-    if outcome.code is not outcomes.Exit.OK or fleet is None:
+    if outcome.code is not outcomes.ExitCode.OK or fleet is None:
         interrupted.outcome = outcome
         return outcome
     line = f"accepted as version {verdict.version}"
     interrupted.outcome = outcomes.Outcome(
-        outcomes.Exit.PARTIAL,
+        outcomes.ExitCode.PARTIAL,
         outcome.document,
         (f"{line}; interrupted before it was seen in force everywhere",),
     )
@@ -258,7 +258,7 @@
     note: str,
     base: int | None,
     change_id: str,
-    say: Say,
+    say: ReportProgress,
 ) -> config_log.Verdict | None:
     """Appends a change, once, and waits for the log's verdict on it."""
     config = log.state.config
@@ -286,13 +286,13 @@
 def _await_verdict(
     log: log_state.LogState, change_id: str
 ) -> config_log.Verdict | None:
-    until = time.monotonic() + VERDICT_WAIT_S
+    until = time.monotonic() + VERDICT_TIMEOUT_S
     while time.monotonic() < until:
         log.refresh()
         verdict = log.state.config.state.verdicts.get(change_id)
         if verdict is not None:
             return verdict
-        time.sleep(VERDICT_STEP_S)
+        time.sleep(VERDICT_POLL_S)
     return None
 
 
@@ -306,7 +306,7 @@
         errors.Kind.NOT_KNOWN_YET,
     )
     return outcomes.Outcome(
-        outcomes.Exit.NOT_KNOWN_YET,
+        outcomes.ExitCode.NOT_KNOWN_YET,
         {"change_id": change_id, "outcome": "not-known-yet"},
         (),
         (problem,),
@@ -322,19 +322,19 @@
     match verdict.outcome:
         case config_log.Outcome.ACCEPTED:
             line = f"accepted as version {verdict.version}"
-            return outcomes.Outcome(outcomes.Exit.OK, document, (line,))
+            return outcomes.Outcome(outcomes.ExitCode.OK, document, (line,))
         case config_log.Outcome.SUPERSEDED:
-            code = outcomes.Exit.SUPERSEDED
+            code = outcomes.ExitCode.SUPERSEDED
             reason = f"is superseded by {verdict.by}"
             remedy = "run `diff`, take their change in, and publish again"
             kind = errors.Kind.SUPERSEDED
         case config_log.Outcome.FORMAT:
-            code = outcomes.Exit.PROBLEMS
+            code = outcomes.ExitCode.PROBLEMS
             reason = verdict.reason
             remedy = "upgrade all instances first"
             kind = errors.Kind.FORMAT
         case _:
-            code = outcomes.Exit.PROBLEMS
+            code = outcomes.ExitCode.PROBLEMS
             reason = f"is refused: {verdict.reason}"
             remedy = "run `check` with the version that the instances run"
             kind = errors.Kind.REFUSED
@@ -344,7 +344,7 @@
 
 
 def _await_force(
-    version: int, fleet: fleet_lib.Fleet, document: dict, say: Say
+    version: int, fleet: fleet_lib.Fleet, document: dict, say: ReportProgress
 ) -> outcomes.Outcome:
     """Waits until the version is in force at every instance."""
     began = time.monotonic()
@@ -363,12 +363,12 @@
         if not behind:
             document["seconds"] = round(time.monotonic() - began, 3)
             line = f"version {version} is in force at {len(said)} instances"
-            return outcomes.Outcome(outcomes.Exit.OK, document, (line,))
-        if time.monotonic() - began > FORCE_WAIT_S:
+            return outcomes.Outcome(outcomes.ExitCode.OK, document, (line,))
+        if time.monotonic() - began > ROLLOUT_TIMEOUT_S:
             document["behind"] = behind
             lines = tuple(f"behind: {text}" for text in behind)
-            return outcomes.Outcome(outcomes.Exit.PARTIAL, document, lines)
-        time.sleep(FORCE_STEP_S)
+            return outcomes.Outcome(outcomes.ExitCode.PARTIAL, document, lines)
+        time.sleep(ROLLOUT_POLL_S)
 
 
 def _behind(instance: str, status: Any) -> str:
--- a/sesamecross/operators/fleet.py
+++ b/sesamecross/operators/fleet.py
@@ -18,8 +18,8 @@
 from sesamecross.runtime import signals
 from sesamecross.transport import streams
 
-ANSWER_S = 4.0
-AT_ONCE = 50
+REPLY_TIMEOUT_S = 4.0
+MAX_CONCURRENT_REQUESTS = 50
 
 
 def _run(work: collections.abc.Coroutine) -> Any:
@@ -28,7 +28,7 @@
     One that interrupts an event loop while it is made, used or closed leaves
     its parts to be destroyed with tracebacks.
     """
-    before = signal.pthread_sigmask(signal.SIG_BLOCK, signals.TOOL_STOPS)
+    before = signal.pthread_sigmask(signal.SIG_BLOCK, signals.CLI_STOP_SIGNALS)
     try:
         return asyncio.run(work)
     finally:
@@ -96,13 +96,13 @@
     async def _ask_all(
         self, request: collections.abc.Callable[[], object]
     ) -> dict[str, object]:
-        gate = asyncio.Semaphore(AT_ONCE)
+        gate = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
         async def ask(address: str) -> object:
             async with gate:
                 try:
                     return await asyncio.wait_for(
-                        self._ask(address, request()), ANSWER_S
+                        self._ask(address, request()), REPLY_TIMEOUT_S
                     )
                 except (streams.StreamClosedError, TimeoutError):
                     return None
--- a/sesamecross/operators/log_state.py
+++ b/sesamecross/operators/log_state.py
@@ -18,8 +18,8 @@
 from sesamecross.ops import replay
 from sesamecross.ports import log_http
 
-APPEND_TRIES = 5
-TRY_PAUSE_S = 0.2
+APPEND_ATTEMPTS = 5
+APPEND_RETRY_S = 0.2
 
 
 class LogState:
@@ -78,9 +78,9 @@
         )
         payload = codec.encode(envelope)
         result: Result[int, errors.Problem] = self._log.append(payload)
-        for _ in range(APPEND_TRIES - 1):
+        for _ in range(APPEND_ATTEMPTS - 1):
             if isinstance(result, Success):
                 break
-            time.sleep(TRY_PAUSE_S)
+            time.sleep(APPEND_RETRY_S)
             result = self._log.append(payload)
         return result
--- a/sesamecross/operators/losses.py
+++ b/sesamecross/operators/losses.py
@@ -20,10 +20,10 @@
 
 WINDOW_S = 10
 # A request that was held longer than this says so by its cause.
-HELD_MS = 50
+MIN_DELAY_MS = 50
 # A request without a plan that was held longer than this waited for an adapter:
 # for news of a model it waits less.
-ADAPTER_MS = 400
+ADAPTER_WAIT_MS = 400
 _REQUEST = "request: "
 
 
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
+class RequestEnd:
     """One request, as its instance logged its end.
 
     Attributes:
@@ -64,7 +64,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Group:
+class CauseSummary:
     """Requests of one cause."""
 
     cause: Cause
@@ -74,7 +74,7 @@
     by_window: tuple[tuple[int, int], ...]
 
 
-def row_of(line: str) -> dict[str, Any] | None:
+def parse_line(line: str) -> dict[str, Any] | None:
     """Returns a log line's fields; None where it is none.
 
     Collectors put the time and the instance's name before the line.
@@ -89,7 +89,7 @@
     return row if isinstance(row, dict) else None
 
 
-def ended(row: dict[str, Any]) -> Ended | None:
+def parse_request(row: dict[str, Any]) -> RequestEnd | None:
     """Returns a request's end; None where a line tells of something else."""
     event = row.get("event")
     if not isinstance(event, str) or not event.startswith(_REQUEST):
@@ -111,7 +111,7 @@
         cause = _cause(outcome, waited_ms, paced_ms)
     if cause in (Cause.WAITED_MODEL, Cause.WAITED_TURN):
         held_ms = waited_ms + paced_ms
-    return Ended(at_s, str(row["route"]), cause, held_ms)
+    return RequestEnd(at_s, str(row["route"]), cause, held_ms)
 
 
 def _cause(outcome: str, waited_ms: float, paced_ms: float) -> Cause | None:
@@ -121,15 +121,15 @@
         return Cause.CUT
     if outcome.startswith("status 5") or outcome == "failed":
         return Cause.FAILED
-    if waited_ms > HELD_MS:
+    if waited_ms > MIN_DELAY_MS:
         return Cause.WAITED_MODEL
-    if paced_ms > HELD_MS:
+    if paced_ms > MIN_DELAY_MS:
         return Cause.WAITED_TURN
     return None
 
 
 def _refused(row: dict[str, Any], waited_ms: float) -> Cause:
-    waited = waited_ms > HELD_MS
+    waited = waited_ms > MIN_DELAY_MS
     note = str(row.get("note", ""))
     if "configuration" in note:
         return Cause.NO_CONFIGURATION
@@ -141,19 +141,19 @@
         return Cause.FULL_AFTER_WAIT if waited else Cause.FULL
     if "expected_in_s" in row:
         return Cause.WAITED_TOO_LATE if waited else Cause.TOO_LATE
-    if "/" in str(row["target"]) and waited_ms > ADAPTER_MS:
+    if "/" in str(row["target"]) and waited_ms > ADAPTER_WAIT_MS:
         return Cause.ADAPTER
     return Cause.NO_PLAN
 
 
-def groups(requests: Iterable[Ended]) -> tuple[Group, ...]:
+def summarize(requests: Iterable[RequestEnd]) -> tuple[CauseSummary, ...]:
     """Returns the requests by cause, the most frequent one first."""
-    by_cause: dict[Cause, list[Ended]] = {}
+    by_cause: dict[Cause, list[RequestEnd]] = {}
     for one in requests:
         if one.cause is not None:
             by_cause.setdefault(one.cause, []).append(one)
     found = [
-        Group(
+        CauseSummary(
             cause,
             len(those),
             sum(one.held_ms for one in those) / len(those),
@@ -165,25 +165,25 @@
     return tuple(sorted(found, key=lambda one: (-one.count, one.cause.name)))
 
 
-def _window(one: Ended) -> int:
+def _window(one: RequestEnd) -> int:
     return int(one.at_s // WINDOW_S) * WINDOW_S
 
 
 def explain(paths: Iterable[pathlib.Path]) -> outcomes.Outcome:
     """Reads logs and says what the requests in them were lost to."""
-    requests: list[Ended] = []
+    requests: list[RequestEnd] = []
     problems = []
     for path in paths:
         try:
             with path.open(encoding="utf-8", errors="replace") as lines:
-                rows = (row_of(line) for line in lines)
-                told = (ended(row) for row in rows if row is not None)
+                rows = (parse_line(line) for line in lines)
+                told = (parse_request(row) for row in rows if row is not None)
                 requests.extend(one for one in told if one is not None)
         except OSError as error:
             problems.append(_unreadable(path, error))
     if problems:
-        return outcomes.failed(outcomes.Exit.PROBLEMS, problems)
-    return _outcome(requests, groups(requests))
+        return outcomes.failed(outcomes.ExitCode.PROBLEMS, problems)
+    return _outcome(requests, summarize(requests))
 
 
 def _unreadable(path: pathlib.Path, error: OSError) -> errors.Problem:
@@ -197,7 +197,7 @@
 
 
 def _outcome(
-    requests: list[Ended], found: tuple[Group, ...]
+    requests: list[RequestEnd], found: tuple[CauseSummary, ...]
 ) -> outcomes.Outcome:
     lines = [f"{len(requests)} requests"]
     for group in found:
@@ -227,7 +227,7 @@
             for group in found
         ],
     }
-    return outcomes.Outcome(outcomes.Exit.OK, document, tuple(lines))
+    return outcomes.Outcome(outcomes.ExitCode.OK, document, tuple(lines))
 
 
 def _clock(at_s: int) -> str:
--- a/sesamecross/operators/losses_test.py
+++ b/sesamecross/operators/losses_test.py
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize(("logged", "cause"), CAUSES)
 def test_each_end_of_a_request_has_its_cause(logged, cause):
     line = f"  12.5 front-1 {json.dumps(logged)}\n"
-    assert losses.ended(losses.row_of(line)).cause is cause
+    assert losses.parse_request(losses.parse_line(line)).cause is cause
 
 
 def write(path: pathlib.Path, rows: list[dict]) -> str:
@@ -95,8 +95,8 @@
 def test_lines_of_others_are_passed_over(text, fields):
     """Guards against a report that fails on one damaged line."""
     for line in (text, json.dumps(fields)):
-        found = losses.row_of(line)
-        assert found is None or losses.ended(found) is None
+        found = losses.parse_line(line)
+        assert found is None or losses.parse_request(found) is None
 
 
 @pytest.mark.parametrize(
@@ -115,5 +115,5 @@
 @pytest.mark.parametrize("outcome", ["refused", "streamed"])
 def test_a_damaged_field_fails_no_report(outcome, damage):
     """Guards against a report that fails on one damaged line."""
-    found = losses.ended(row(outcome, **(MODEL | damage)))
+    found = losses.parse_request(row(outcome, **(MODEL | damage)))
     assert found is None or found.held_ms >= 0
--- a/sesamecross/operators/outcomes.py
+++ b/sesamecross/operators/outcomes.py
@@ -11,7 +11,7 @@
 from sesamecross.core import errors
 
 
-class Exit(enum.IntEnum):
+class ExitCode(enum.IntEnum):
     """Exit codes. 2 is argparse's own for wrong usage."""
 
     OK = 0
@@ -33,13 +33,13 @@
       problems: What went wrong, each with its remedy.
     """
 
-    code: Exit
+    code: ExitCode
     document: dict[str, Any]
     lines: tuple[str, ...]
     problems: tuple[errors.Problem, ...] = ()
 
 
-class InterruptedAnswer:
+class InterruptOutcome:
     """What a command answers if it is interrupted now.
 
     Each step sets it before it begins, so that a signal at any moment gets an
@@ -52,7 +52,7 @@
         self.outcome = outcome
 
 
-def failed(code: Exit, problems: list[errors.Problem]) -> Outcome:
+def failed(code: ExitCode, problems: list[errors.Problem]) -> Outcome:
     """Returns an outcome that consists of problems only."""
     return Outcome(code, {}, (), tuple(problems))
 
--- a/sesamecross/parser/crosschecks.py
+++ b/sesamecross/parser/crosschecks.py
@@ -26,7 +26,7 @@
 )
 
 
-def dangling_names(tree: Tree) -> Iterator[tables.KeyProblem]:
+def dangling_references(tree: Tree) -> Iterator[tables.KeyProblem]:
     """Yields an error for each name that nothing declares."""
     for table, key, target, any_allowed in _REFERENCES:
         entries = tree.get(table)
@@ -71,7 +71,7 @@
     return is_models and isinstance(adapters, dict) and name in adapters
 
 
-def overcommitted(
+def consistency_problems(
     declarations: data.Declarations,
 ) -> Iterator[tables.KeyProblem]:
     """Yields an error where engines can't hold what must stay."""
--- a/sesamecross/parser/declarations.py
+++ b/sesamecross/parser/declarations.py
@@ -37,14 +37,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Parsed:
+class ParseResult:
     """Declarations, or the errors that forbid them."""
 
     declarations: data.Declarations | None
     errors: tuple[tables.KeyProblem, ...]
 
 
-def parse(tree: Tree) -> Parsed:
+def parse(tree: Tree) -> ParseResult:
     """Checks a merged tree; the result is the same wherever it runs."""
     found: list[tables.KeyProblem] = []
     values: dict[str, Any] = {}
@@ -58,14 +58,14 @@
     if found:
         # Cross checks on half-read tables would report a model as missing
         # that is only misspelt inside; names are still checked.
-        found.extend(crosschecks.dangling_names(tree))
-        return Parsed(None, tuple(found))
+        found.extend(crosschecks.dangling_references(tree))
+        return ParseResult(None, tuple(found))
     declarations = data.Declarations(**values)
-    found.extend(crosschecks.dangling_names(tree))
-    found.extend(crosschecks.overcommitted(declarations))
+    found.extend(crosschecks.dangling_references(tree))
+    found.extend(crosschecks.consistency_problems(declarations))
     if found:
-        return Parsed(None, tuple(found))
-    return Parsed(declarations, ())
+        return ParseResult(None, tuple(found))
+    return ParseResult(declarations, ())
 
 
 def _unknown_table(key: str) -> tables.KeyProblem:
--- a/sesamecross/platform/program.py
+++ b/sesamecross/platform/program.py
@@ -13,7 +13,7 @@
 from sesamecross.platform import store_codec
 from sesamecross.runtime import application
 from sesamecross.runtime import bounded_output
-from sesamecross.runtime import first_settings
+from sesamecross.runtime import initial_settings
 from sesamecross.runtime import logs
 from sesamecross.runtime import signals
 
@@ -37,7 +37,7 @@
     )
 
 
-def run(log_level: str, inbox: signals.Inbox) -> int:
+def run(log_level: str, pending_signals: signals.PendingSignals) -> int:
     """Runs a gateway from the settings file that the platform names.
 
     Args:
@@ -48,19 +48,19 @@
       The exit code.
     """
     path = os.environ.get(settings.BOOT_VARIABLE, "")
-    loaded = first_settings.read(
+    loaded = initial_settings.load_with_retry(
         functools.partial(settings.load, path),
-        inbox,
+        pending_signals,
         # Waiting for the file is useless if its path is not set.
         lambda _: bool(path),
     )
     if isinstance(loaded, Failure):
         print(loaded.failure(), file=sys.stderr)
-        return application.code_without_start(inbox)
+        return application.exit_code_without_start(pending_signals)
     instance = loaded.unwrap()
     output = bounded_output.BoundedOutput.of_stream(sys.stdout)
     logs.configure(log_level, "json", output, instance=instance.name)
     gateway = app.GatewayApp.from_config(
         instance, adapter(), settings.SettingsFile(path)
     )
-    return application.Application(gateway, inbox).run()
+    return application.Application(gateway, pending_signals).run()
--- a/sesamecross/platform/program_test.py
+++ b/sesamecross/platform/program_test.py
@@ -54,7 +54,7 @@
     monkeypatch.setattr(app.GatewayApp, "from_config", _start)
     monkeypatch.setenv(settings.BOOT_VARIABLE, str(path))
     with pytest.raises(_Started) as started:
-        program.run("info", signals.Inbox())
+        program.run("info", signals.PendingSignals())
     assert started.value.args[0].bounds.drain_s == 4.0
 
 
@@ -67,7 +67,7 @@
     slept_s = []
     monkeypatch.setattr(time, "sleep", slept_s.append)
     monkeypatch.setenv(settings.BOOT_VARIABLE, str(path))
-    assert program.run("info", signals.Inbox()) == 1
+    assert program.run("info", signals.PendingSignals()) == 1
     assert settings.BOOT_VARIABLE in capsys.readouterr().err
     assert sum(slept_s) < 5
 
@@ -77,6 +77,6 @@
     slept_s = []
     monkeypatch.setattr(time, "sleep", slept_s.append)
     monkeypatch.delenv(settings.BOOT_VARIABLE, raising=False)
-    assert program.run("info", signals.Inbox()) == 1
+    assert program.run("info", signals.PendingSignals()) == 1
     assert settings.BOOT_VARIABLE in capsys.readouterr().err
     assert slept_s == []
--- a/sesamecross/runtime/application.py
+++ b/sesamecross/runtime/application.py
@@ -16,25 +16,25 @@
 
 from sesamecross.runtime import logs
 from sesamecross.runtime import signal_log
-from sesamecross.runtime import signal_watch
+from sesamecross.runtime import signal_wakeup
 from sesamecross.runtime import signals
 from sesamecross.runtime import supervisor
 
 EXIT_OK = 0
 EXIT_FAILED = 1
-EXIT_CUT_SHORT = 3
+EXIT_FORCED = 3
 # What asked for an end, where it was no signal.
 FAILURE = "a failure"
 
 Phase = signal_log.Phase
 
 
-def code_without_start(inbox: signals.Inbox) -> int:
+def exit_code_without_start(pending_signals: signals.PendingSignals) -> int:
     """Returns the exit code of a process that has no settings to start with.
 
     One that was told to stop meanwhile has not failed.
     """
-    return EXIT_OK if inbox.is_stop_asked else EXIT_FAILED
+    return EXIT_OK if pending_signals.is_stop_requested else EXIT_FAILED
 
 
 class Hooks(Protocol):
@@ -48,7 +48,7 @@
 
 
 @runtime_checkable
-class Reloads(Protocol):
+class Reloadable(Protocol):
     """Hooks of a process whose settings can change while it runs."""
 
     def reload(self) -> None:
@@ -61,7 +61,7 @@
     __slots__ = (
         "_asked_by",
         "_hooks",
-        "_inbox",
+        "_pending_signals",
         "_interrupts",
         "_log",
         "_phase",
@@ -69,10 +69,10 @@
         "_stopping",
     )
 
-    def __init__(self, hooks: Hooks, inbox: signals.Inbox):
+    def __init__(self, hooks: Hooks, pending_signals: signals.PendingSignals):
         self._hooks = hooks
-        self._inbox = inbox
-        self._log = logs.part("application")
+        self._pending_signals = pending_signals
+        self._log = logs.get_logger("application")
         self._signal_log = signal_log.SignalLog(self._log)
         self._phase = Phase.BEFORE_START
         self._interrupts = 0
@@ -86,7 +86,7 @@
     async def _run(self) -> int:
         self._stopping = asyncio.Event()
         loop = asyncio.get_running_loop()
-        with signal_watch.watching(loop, self._take_signals):
+        with signal_wakeup.notify_on_signal(loop, self._take_signals):
             # Those that came before the loop ran.
             self._take_signals()
             code = EXIT_OK
@@ -110,7 +110,7 @@
         self._phase = Phase.RUNNING
         self._log.info("started", pid=os.getpid())
         stopping = asyncio.create_task(self._stopping.wait())
-        failed = asyncio.create_task(tree.failed())
+        failed = asyncio.create_task(tree.wait_for_failure())
         await asyncio.wait(
             [stopping, failed], return_when=asyncio.FIRST_COMPLETED
         )
@@ -146,7 +146,7 @@
         )
 
     def _take_signals(self) -> None:
-        for number, count in self._inbox.take().items():
+        for number, count in self._pending_signals.take().items():
             match number:
                 case signal.SIGTERM | signal.SIGINT:
                     self._on_stop(number, count)
@@ -162,7 +162,7 @@
 
     def _on_reload(self, number: signal.Signals, count: int) -> None:
         event = "reload requested"
-        if not isinstance(self._hooks, Reloads):
+        if not isinstance(self._hooks, Reloadable):
             self._tell(event, number, count, "nothing, no settings to take in")
             return
         if self._phase is Phase.STOPPED:
@@ -197,5 +197,5 @@
             # open on the log and are reported as unknown, never run again.
             self._log.warning("second signal, stopping at once")
             self._asked_by = f"second {number.name}"
-            self._tell_end(EXIT_CUT_SHORT)
-            os._exit(EXIT_CUT_SHORT)
+            self._tell_end(EXIT_FORCED)
+            os._exit(EXIT_FORCED)
--- a/sesamecross/runtime/application_test.py
+++ b/sesamecross/runtime/application_test.py
@@ -60,22 +60,23 @@
 
 
 @contextlib.contextmanager
-def _inbox():
+def _pending_signals():
     """Holds the signals of the test run for as long as a test needs it."""
     former = {
-        number: signal.getsignal(number) for number in signals_lib.PLANNED
+        number: signal.getsignal(number)
+        for number in signals_lib.HANDLED_SIGNALS
     }
     try:
-        yield signals_lib.Inbox.open()
+        yield signals_lib.PendingSignals.open()
     finally:
         for number, handler in former.items():
             signal.signal(number, handler)
 
 
 async def _run(hooks, signals) -> int:
-    with _inbox() as inbox:
+    with _pending_signals() as pending_signals:
         return await _play(
-            application.Application(hooks, inbox), hooks, signals
+            application.Application(hooks, pending_signals), hooks, signals
         )
 
 
@@ -140,8 +141,8 @@
         ("SIGTERM", "SIGHUP+SIGINT+SIGTERM", []),
         ("SIGINT", "SIGTERM", []),
         ("SIGINT", "SIGTERM+SIGTERM", []),
-        ("SIGINT", "SIGINT", [application.EXIT_CUT_SHORT]),
-        ("SIGTERM", "SIGINT+SIGINT", [application.EXIT_CUT_SHORT]),
+        ("SIGINT", "SIGINT", [application.EXIT_FORCED]),
+        ("SIGTERM", "SIGINT+SIGINT", [application.EXIT_FORCED]),
     ],
 )
 def test_only_a_second_interrupt_cuts_a_stop_short(
@@ -235,9 +236,9 @@
         hooks.is_cut.set()
 
     monkeypatch.setattr(os, "_exit", end)
-    with _inbox() as inbox:
-        application.Application(hooks, inbox).run()
-    assert ends[:1] == [application.EXIT_CUT_SHORT]
+    with _pending_signals() as pending_signals:
+        application.Application(hooks, pending_signals).run()
+    assert ends[:1] == [application.EXIT_FORCED]
 
 
 def _of(lines: list[dict], event: str) -> list[dict]:
--- a/sesamecross/runtime/bounded_output.py
+++ b/sesamecross/runtime/bounded_output.py
@@ -16,9 +16,9 @@
 # 73 instances each has about 5 lines a second; 200 leave room for a burst of
 # retries and cost at most 6 ms of processor time a second.
 LINES_PER_S = 200.0
-LINES_AT_ONCE = 400.0
+BURST_LINES = 400.0
 # What may wait for a stalled reader.
-PENDING_BYTES = 64 * 1024
+MAX_PENDING_BYTES = 64 * 1024
 # A pipe that can be written takes this much without waiting.
 _PIECE_BYTES = select.PIPE_BUF
 
@@ -58,7 +58,7 @@
         self._lock = threading.Lock()
         self._pending = bytearray()
         self._clock = clock
-        self._tokens = LINES_AT_ONCE
+        self._tokens = BURST_LINES
         self._at_s = clock()
         self._dropped = 0
 
@@ -95,10 +95,10 @@
     def _take(self, text: str) -> None:
         now_s = self._clock()
         self._tokens = min(
-            LINES_AT_ONCE, self._tokens + (now_s - self._at_s) * LINES_PER_S
+            BURST_LINES, self._tokens + (now_s - self._at_s) * LINES_PER_S
         )
         self._at_s = now_s
-        if self._tokens < 1.0 or len(self._pending) > PENDING_BYTES:
+        if self._tokens < 1.0 or len(self._pending) > MAX_PENDING_BYTES:
             self._dropped += 1
         else:
             self._tokens -= 1.0
--- a/sesamecross/runtime/http_server.py
+++ b/sesamecross/runtime/http_server.py
@@ -20,7 +20,7 @@
 from cheroot import server
 from cheroot import wsgi
 
-from sesamecross.runtime import http_ending
+from sesamecross.runtime import http_shutdown
 from sesamecross.runtime import logs
 
 # A connection that sends its head or body slower than this is closed.
@@ -124,7 +124,7 @@
 class _TimedConnection(server.HTTPConnection):
     """A connection whose heads are timed."""
 
-    RequestHandlerClass = http_ending.Request
+    RequestHandlerClass = http_shutdown.Request
 
     def communicate(self) -> bool:
         reaper = self.server.reaper
@@ -154,7 +154,7 @@
     def __init__(self, name: str, address: str, app: WsgiApp, limits: Limits):
         host, _, port = address.rpartition(":")
         self._name = name
-        self._server = http_ending.Server(
+        self._server = http_shutdown.Server(
             (host, int(port)),
             app,
             numthreads=limits.threads,
@@ -200,16 +200,16 @@
         while not self._done.wait(_REAP_S):
             self._reaper.reap()
 
-    def leave(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Ends each connection with the next answer on it."""
-        self._server.leaving = True
+        self._server.is_keep_alive_disabled = True
 
     def shut_down(self) -> None:
         """Closes the port and ends the threads.
 
         Requests that are whole by then are given to the application.
         """
-        self.leave()
+        self.disable_keep_alive()
         self._server.stop()
         if self._thread is not None:
             self._thread.join(_JOIN_S)
@@ -233,7 +233,7 @@
 
     def _on_error(self, msg="", level=20, traceback=False) -> None:
         # Resets by callers are ordinary; the library reports them here.
-        logs.part(self._name).debug("server error", detail=str(msg)[:500])
+        logs.get_logger(self._name).debug("server error", detail=str(msg)[:500])
 
 
 class SlowBody(Exception):
@@ -270,7 +270,7 @@
     return b""
 
 
-def answer(
+def send_response(
     start_response: StartResponse,
     status: str,
     body: bytes,
@@ -285,8 +285,8 @@
     return [body]
 
 
-def answer_json(
+def send_json(
     start_response: StartResponse, value: Any, status: str = "200 OK"
 ) -> list[bytes]:
     """Sends a whole answer as JSON."""
-    return answer(start_response, status, json.dumps(value).encode())
+    return send_response(start_response, status, json.dumps(value).encode())
--- a/sesamecross/runtime/http_server_test.py
+++ b/sesamecross/runtime/http_server_test.py
@@ -7,8 +7,8 @@
 from cheroot import connections
 import pytest
 
-from sesamecross.runtime import http_ending
 from sesamecross.runtime import http_server
+from sesamecross.runtime import http_shutdown
 
 
 def app(environ, start_response):
@@ -16,7 +16,9 @@
         body = http_server.read_body(environ)
     except http_server.SlowBody:
         body = b"slow"
-    return http_server.answer(start_response, "200 OK", body, "text/plain")
+    return http_server.send_response(
+        start_response, "200 OK", body, "text/plain"
+    )
 
 
 @pytest.fixture
@@ -67,7 +69,9 @@
 
 def busy(environ, start_response):
     """Refuses without a look at the body, as a process that stops does."""
-    return http_server.answer(start_response, "503 Service Unavailable", b"no")
+    return http_server.send_response(
+        start_response, "503 Service Unavailable", b"no"
+    )
 
 
 class Held(list):
@@ -191,7 +195,7 @@
     24 callers up to 18 were reset at one stop. It has no room for them now.
     """
     callers = []
-    look = http_ending.Connections._from_server_socket
+    look = http_shutdown.Connections._from_server_socket
 
     def look_and_connect(manager, listener):
         found = look(manager, listener)
@@ -206,7 +210,7 @@
 
     told = []
     monkeypatch.setattr(
-        http_ending.Connections, "_from_server_socket", look_and_connect
+        http_shutdown.Connections, "_from_server_socket", look_and_connect
     )
     one = http_server.HttpServer(
         "test", "127.0.0.1:0", busy, http_server.Limits(threads=2)
--- a/sesamecross/runtime/http_ending.py
+++ b/sesamecross/runtime/http_shutdown.py
@@ -27,7 +27,7 @@
 
     def send_headers(self) -> None:
         """Sends the head of the answer."""
-        if self.server.leaving:
+        if self.server.is_keep_alive_disabled:
             # Whoever has this answer shall send its next request elsewhere.
             self.close_connection = True
         self._read_rest()
@@ -101,7 +101,7 @@
       leaving: Whether each connection ends with the next answer on it.
     """
 
-    leaving = False
+    is_keep_alive_disabled = False
 
     def prepare(self) -> None:
         """Binds the address."""
--- a/sesamecross/runtime/first_settings.py
+++ b/sesamecross/runtime/initial_settings.py
@@ -19,17 +19,17 @@
 # Together three seconds. Writing a few kilobytes takes milliseconds, also
 # where it is done in steps; the platform replaces a process only after it has
 # ended.
-LOOKS = 30
-EVERY_S = 0.1
+MAX_ATTEMPTS = 30
+RETRY_INTERVAL_S = 0.1
 
 _Settings = TypeVar("_Settings")
 _Error = TypeVar("_Error")
 
 
-def read(
+def load_with_retry(
     load: Callable[[], Result[_Settings, _Error]],
-    inbox: signals.Inbox,
-    may_pass: Callable[[_Error], bool] = lambda _: True,
+    pending_signals: signals.PendingSignals,
+    is_transient: Callable[[_Error], bool] = lambda _: True,
 ) -> Result[_Settings, _Error]:
     """Returns the settings once they can be read, or their last error.
 
@@ -39,17 +39,18 @@
       may_pass: Whether an error may go by itself.
     """
     loaded = load()
-    for look in range(1, LOOKS):
-        if isinstance(loaded, Success) or not may_pass(loaded.failure()):
+    for look in range(1, MAX_ATTEMPTS):
+        if isinstance(loaded, Success) or not is_transient(loaded.failure()):
             break
-        if inbox.is_stop_asked:
+        if pending_signals.is_stop_requested:
             break
         if look == 1:
             print(
                 f"settings can't be read yet ({loaded.failure()}),"
-                f" looking again for up to {LOOKS * EVERY_S:g} s",
+                " looking again for up to"
+                f" {MAX_ATTEMPTS * RETRY_INTERVAL_S:g} s",
                 file=sys.stderr,
             )
-        time.sleep(EVERY_S)
+        time.sleep(RETRY_INTERVAL_S)
         loaded = load()
     return loaded
--- a/sesamecross/runtime/first_settings_test.py
+++ b/sesamecross/runtime/initial_settings_test.py
@@ -8,7 +8,7 @@
 
 from sesamecross.parser import settings
 from sesamecross.runtime import application
-from sesamecross.runtime import first_settings
+from sesamecross.runtime import initial_settings
 from sesamecross.runtime import launch
 from sesamecross.runtime import logs
 from sesamecross.runtime import signals
@@ -38,7 +38,7 @@
         self.path = path
         self.texts = list(texts)
         self.slept_s = 0.0
-        self.inbox: signals.Inbox | None = None
+        self.pending_signals: signals.PendingSignals | None = None
         self.is_stopped = False
         self.write()
 
@@ -55,7 +55,7 @@
         self.slept_s += seconds
         if self.is_stopped:
             # As the signal's handler does.
-            self.inbox._on_signal(signal.SIGTERM, None)
+            self.pending_signals._on_signal(signal.SIGTERM, None)
         self.write()
 
 
@@ -66,10 +66,10 @@
     monkeypatch.setattr(time, "sleep", writer.sleep)
     monkeypatch.setattr(logs, "configure", lambda *_, **__: None)
     monkeypatch.setattr(sys, "argv", ["entry", *flags, "--settings", str(path)])
-    inbox = signals.Inbox()
-    writer.inbox = inbox
+    pending_signals = signals.PendingSignals()
+    writer.pending_signals = pending_signals
     return writer, lambda: launch.launch(
-        "", settings.EntrySettings, _start, inbox
+        "", settings.EntrySettings, _start, pending_signals
     )
 
 
@@ -126,4 +126,4 @@
     writer, start = launched(tmp_path, monkeypatch, [WHOLE[:40]])
     writer.is_stopped = True
     assert start() == application.EXIT_OK
-    assert writer.slept_s == first_settings.EVERY_S
+    assert writer.slept_s == initial_settings.RETRY_INTERVAL_S
--- a/sesamecross/runtime/launch.py
+++ b/sesamecross/runtime/launch.py
@@ -17,7 +17,7 @@
 from sesamecross.core import errors
 from sesamecross.parser import settings as settings_lib
 from sesamecross.runtime import application
-from sesamecross.runtime import first_settings
+from sesamecross.runtime import initial_settings
 from sesamecross.runtime import logs
 from sesamecross.runtime import signals
 
@@ -26,7 +26,7 @@
     description: str,
     settings_class: type,
     make: Callable[[Any], application.Hooks],
-    inbox: signals.Inbox,
+    pending_signals: signals.PendingSignals,
 ) -> int:
     """Runs a program to its end.
 
@@ -42,20 +42,20 @@
     parser = argparse.ArgumentParser(description=description)
     settings_lib.add_flags(parser, settings_class)
     flags = parser.parse_args()
-    loaded = first_settings.read(
+    loaded = initial_settings.load_with_retry(
         functools.partial(settings_lib.load, settings_class, flags, os.environ),
-        inbox,
+        pending_signals,
         functools.partial(_is_of_file, flags.settings),
     )
     if isinstance(loaded, Failure):
         for problem in loaded.failure():
             print(problem, file=sys.stderr)
-        return application.code_without_start(inbox)
+        return application.exit_code_without_start(pending_signals)
     settings = loaded.unwrap()
     logs.configure(
         settings.log_level, settings.log_format, instance=settings.instance
     )
-    return application.Application(make(settings), inbox).run()
+    return application.Application(make(settings), pending_signals).run()
 
 
 def _is_of_file(path: str | None, problems: list[errors.Problem]) -> bool:
--- a/sesamecross/runtime/logs.py
+++ b/sesamecross/runtime/logs.py
@@ -72,6 +72,6 @@
     return event
 
 
-def part(name: str) -> structlog.stdlib.BoundLogger:
+def get_logger(name: str) -> structlog.stdlib.BoundLogger:
     """Returns the logger of one part; its lines begin with `name`."""
     return structlog.get_logger(part=name)
--- a/sesamecross/runtime/signal_log.py
+++ b/sesamecross/runtime/signal_log.py
@@ -13,7 +13,7 @@
 
 # For each signal by itself, so that a flood of one hides no other. Planned work
 # comes in series, of some dozens of signals at the most; each keeps its line.
-LINES_AT_ONCE = 40.0
+BURST_LINES = 40.0
 LINES_PER_S = 1.0
 
 
@@ -33,11 +33,11 @@
 
     def __init__(self, now_s: float):
         self._at_s = now_s
-        self._tokens = LINES_AT_ONCE
+        self._tokens = BURST_LINES
 
     def take(self, now_s: float) -> bool:
         grown = self._tokens + (now_s - self._at_s) * LINES_PER_S
-        self._tokens = min(LINES_AT_ONCE, grown)
+        self._tokens = min(BURST_LINES, grown)
         self._at_s = now_s
         if self._tokens < 1.0:
             return False
--- a/sesamecross/runtime/signal_log_test.py
+++ b/sesamecross/runtime/signal_log_test.py
@@ -28,6 +28,6 @@
         for _ in range(flood):
             _told(log, signal.SIGHUP)
     names = [line["signal"] for line in lines]
-    at_once = int(signal_log.LINES_AT_ONCE)
+    at_once = int(signal_log.BURST_LINES)
     assert names == ["SIGHUP"] * at_once + ["SIGTERM"] + ["SIGHUP"] * 2
     assert log.received == {"SIGHUP": 2 * flood, "SIGTERM": 1}
--- a/sesamecross/runtime/signal_watch.py
+++ b/sesamecross/runtime/signal_wakeup.py
@@ -18,7 +18,7 @@
 
 
 @contextlib.contextmanager
-def watching(
+def notify_on_signal(
     loop: asyncio.AbstractEventLoop, on_signal: Callable[[], None]
 ) -> Iterator[None]:
     """Has `on_signal` called in the loop after signals; in the main thread.
--- a/sesamecross/runtime/signals.py
+++ b/sesamecross/runtime/signals.py
@@ -19,7 +19,7 @@
 
 # What the platform, operators and their tools send as a matter of course.
 # SIGQUIT is left out: it stays the way to get rid of a process that hangs.
-PLANNED = (
+HANDLED_SIGNALS = (
     signal.SIGTERM,
     signal.SIGINT,
     signal.SIGHUP,
@@ -29,10 +29,10 @@
 )
 _STOPS = (signal.SIGTERM, signal.SIGINT)
 # What asks a tool at a terminal to stop; the last one as it is closed.
-TOOL_STOPS = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)
+CLI_STOP_SIGNALS = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)
 
 
-class Inbox:
+class PendingSignals:
     """The signals that came and that nobody has taken yet.
 
     They are counted by Python's own handlers, which run in the main thread.
@@ -46,20 +46,20 @@
         self._arrived = _none_arrived()
 
     @classmethod
-    def open(cls) -> "Inbox":
+    def open(cls) -> "PendingSignals":
         """Returns an inbox that from now on gets the planned signals."""
-        inbox = cls()
-        for number in PLANNED:
-            signal.signal(number, inbox._on_signal)
+        pending_signals = cls()
+        for number in HANDLED_SIGNALS:
+            signal.signal(number, pending_signals._on_signal)
             # Calls that are under way in libraries go on.
             signal.siginterrupt(number, False)
         # A process inherits what its parent had blocked; blocked signals wait
         # for ever, and a stop would end with the kill.
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, PLANNED)
-        return inbox
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
+        return pending_signals
 
     @property
-    def is_stop_asked(self) -> bool:
+    def is_stop_requested(self) -> bool:
         """Whether a stop was asked for that nobody has taken yet."""
         return any(self._arrived[number] for number in _STOPS)
 
@@ -75,7 +75,7 @@
         and the default action would then change the exit code. What is
         ignored stays ignored. The signals leave no trace from here on.
         """
-        for number in PLANNED:
+        for number in HANDLED_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
 
     def _on_signal(self, number: int, _frame: object) -> None:
@@ -85,10 +85,10 @@
 
 
 def _none_arrived() -> dict[signal.Signals, int]:
-    return dict.fromkeys(PLANNED, 0)
+    return dict.fromkeys(HANDLED_SIGNALS, 0)
 
 
-def held(body: Callable[[Inbox], int]) -> int:
+def run_with_deferred_signals(body: Callable[[PendingSignals], int]) -> int:
     """Runs a program while its signals are held.
 
     A script calls this first and imports what it runs in `body`: the imports
@@ -97,21 +97,21 @@
     Returns:
       The exit code that `body` returns.
     """
-    inbox = Inbox.open()
+    pending_signals = PendingSignals.open()
     try:
-        return body(inbox)
+        return body(pending_signals)
     finally:
-        inbox.close()
+        pending_signals.close()
 
 
-def take_for_tool(handler: Callable[[int, object], None]) -> None:
+def install_cli_handler(handler: Callable[[int, object], None]) -> None:
     """Has a tool's handler called for what asks it to stop.
 
     A closed terminal stops no tool that was started to outlive it: who
     started it had the signal ignored then, as `nohup` does, and so it stays.
     """
-    for number in TOOL_STOPS:
+    for number in CLI_STOP_SIGNALS:
         is_ignored = signal.getsignal(number) is signal.SIG_IGN
         if number != signal.SIGHUP or not is_ignored:
             signal.signal(number, handler)
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, TOOL_STOPS)
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, CLI_STOP_SIGNALS)
--- a/sesamecross/runtime/signals_test.py
+++ b/sesamecross/runtime/signals_test.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sesamecross.runtime import signal_watch
+from sesamecross.runtime import signal_wakeup
 from sesamecross.runtime import signals
 
 # Without a wake the loop would sleep for ever.
@@ -14,15 +14,17 @@
 
 
 @pytest.fixture
-def inbox():
+def pending_signals():
     """Returns an inbox that holds the test run's own signals meanwhile."""
-    former = {number: signal.getsignal(number) for number in signals.PLANNED}
-    yield signals.Inbox.open()
+    former = {
+        number: signal.getsignal(number) for number in signals.HANDLED_SIGNALS
+    }
+    yield signals.PendingSignals.open()
     for number, handler in former.items():
         signal.signal(number, handler)
 
 
-def test_a_flood_before_the_start_hides_no_stop(inbox):
+def test_a_flood_before_the_start_hides_no_stop(pending_signals):
     """A stop was lost behind a flood of other signals.
 
     Single signals, kept in a socket until the application ran, filled it
@@ -31,15 +33,15 @@
     flood = 100_000
     for _ in range(flood):
         signal.raise_signal(signal.SIGHUP)
-    assert not inbox.is_stop_asked
+    assert not pending_signals.is_stop_requested
     signal.raise_signal(signal.SIGTERM)
-    assert inbox.is_stop_asked
-    assert inbox.take() == {signal.SIGHUP: flood, signal.SIGTERM: 1}
-    assert not inbox.is_stop_asked
-    assert inbox.take() == {}
+    assert pending_signals.is_stop_requested
+    assert pending_signals.take() == {signal.SIGHUP: flood, signal.SIGTERM: 1}
+    assert not pending_signals.is_stop_requested
+    assert pending_signals.take() == {}
 
 
-def test_a_signal_that_another_thread_gets_wakes_the_loop(inbox):
+def test_a_signal_that_another_thread_gets_wakes_the_loop(pending_signals):
     """A process that waited for its sockets did not notice its signal.
 
     The system may give a signal to any thread. The main thread, in which
@@ -57,10 +59,10 @@
 
         def take() -> None:
             # A signal may come in two wakes; the second finds none.
-            if arrived := inbox.take():
+            if arrived := pending_signals.take():
                 taken.set_result(arrived)
 
-        with signal_watch.watching(loop, take):
+        with signal_wakeup.notify_on_signal(loop, take):
             loop.call_soon(asked.set)
             return await asyncio.wait_for(taken, HUNG_S)
 
--- a/sesamecross/runtime/supervisor.py
+++ b/sesamecross/runtime/supervisor.py
@@ -13,11 +13,11 @@
 
 from sesamecross.runtime import logs
 
-RESTARTS_ALLOWED = 10
+MAX_RESTARTS = 10
 RESTART_WINDOW_S = 30.0
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 5.0
-CANCEL_AGAIN_S = 0.2
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 5.0
+CANCEL_RETRY_S = 0.2
 
 
 class Component(Protocol):
@@ -40,7 +40,7 @@
         """Finishes what was begun; called once before `run` is cancelled."""
 
 
-class Time(Protocol):
+class Clock(Protocol):
     """The time by which restarts are counted, and how it passes."""
 
     @property
@@ -51,7 +51,7 @@
         """Lets time pass."""
 
 
-class LoopTime:
+class EventLoopClock:
     """The event loop's time."""
 
     __slots__ = ()
@@ -82,10 +82,10 @@
 
     __slots__ = ("_children", "_time", "_log", "_failed")
 
-    def __init__(self, components: list[Component], time: Time | None = None):
-        self._time = time or LoopTime()
+    def __init__(self, components: list[Component], time: Clock | None = None):
+        self._time = time or EventLoopClock()
         self._children = [_Child(component) for component in components]
-        self._log = logs.part("supervisor")
+        self._log = logs.get_logger("supervisor")
         self._failed: asyncio.Future | None = None
 
     def start(self) -> None:
@@ -96,7 +96,7 @@
                 self._keep_running(child), name=child.component.name
             )
 
-    async def failed(self) -> None:
+    async def wait_for_failure(self) -> None:
         """Waits until a component is given up, and raises why."""
         await self._failed
 
@@ -114,7 +114,7 @@
                 await _cancelled(child.task)
 
     async def _keep_running(self, child: _Child) -> None:
-        pause = FIRST_PAUSE_S
+        pause = INITIAL_BACKOFF_S
         while True:
             begun_s = self._time.now_s
             try:
@@ -128,14 +128,14 @@
                     return
                 if self._time.now_s - begun_s >= RESTART_WINDOW_S:
                     # It ran well: what failed before is over.
-                    pause = FIRST_PAUSE_S
+                    pause = INITIAL_BACKOFF_S
                 self._log.exception(
                     "component failed and is started again",
                     component=child.component.name,
                     pause_s=pause,
                 )
             await self._time.sleep(pause)
-            pause = min(pause * 2, LONGEST_PAUSE_S)
+            pause = min(pause * 2, MAX_BACKOFF_S)
 
     def _may_restart(self, child: _Child) -> bool:
         if getattr(child.component, "is_vital", False):
@@ -147,7 +147,7 @@
             at for at in child.failures if now - at < RESTART_WINDOW_S
         ]
         child.failures.append(now)
-        return len(child.failures) <= RESTARTS_ALLOWED
+        return len(child.failures) <= MAX_RESTARTS
 
     def _give_up(self, child: _Child, error: Exception) -> None:
         self._log.error("component is given up", component=child.component.name)
@@ -165,4 +165,4 @@
     """
     while not task.done():
         task.cancel()
-        await asyncio.wait([task], timeout=CANCEL_AGAIN_S)
+        await asyncio.wait([task], timeout=CANCEL_RETRY_S)
--- a/sesamecross/runtime/supervisor_test.py
+++ b/sesamecross/runtime/supervisor_test.py
@@ -44,7 +44,7 @@
     async def story():
         tree = supervisor.Supervisor([component])
         tree.start()
-        failed = asyncio.create_task(tree.failed())
+        failed = asyncio.create_task(tree.wait_for_failure())
         await asyncio.wait([failed], timeout=seconds)
         error = failed.exception() if failed.done() else None
         failed.cancel()
@@ -118,7 +118,7 @@
     async def story():
         tree = supervisor.Supervisor([component], clock)
         tree.start()
-        failed = asyncio.create_task(tree.failed())
+        failed = asyncio.create_task(tree.wait_for_failure())
         for _ in range(most * 4):
             if failed.done() or len(clock.pauses) >= most:
                 break
@@ -141,7 +141,7 @@
     lasts_s = [0.0] * 6 + [supervisor.RESTART_WINDOW_S + 1.0] + [0.0]
     pauses, error = play(lambda clock: Played(clock, lasts_s))
     assert error is None
-    first_s = supervisor.FIRST_PAUSE_S
+    first_s = supervisor.INITIAL_BACKOFF_S
     assert pauses[:6] == [first_s * 2**n for n in range(6)]
     assert pauses[6:8] == [first_s, first_s * 2]
 
@@ -149,7 +149,7 @@
 def test_a_component_that_keeps_failing_is_given_up():
     pauses, error = play(lambda clock: Played(clock, itertools.repeat(0.0)))
     assert isinstance(error, supervisor.ComponentFailed)
-    assert len(pauses) == supervisor.RESTARTS_ALLOWED
+    assert len(pauses) == supervisor.MAX_RESTARTS
 
 
 class Helper(Played):
@@ -168,7 +168,7 @@
     pauses, error = play(lambda clock: Helper(clock, itertools.repeat(0.0)))
     assert error is None
     assert len(pauses) == 40
-    assert pauses[-1] == supervisor.LONGEST_PAUSE_S
+    assert pauses[-1] == supervisor.MAX_BACKOFF_S
 
 
 @pytest.mark.parametrize("component", [reloader.Reloader, sweeper.Sweeper])
--- a/sesamecross/scripts/entry.py
+++ b/sesamecross/scripts/entry.py
@@ -7,17 +7,20 @@
 
 def main() -> int:
     """Returns the exit code."""
-    return signals.held(_run)
+    return signals.run_with_deferred_signals(_run)
 
 
-def _run(inbox: signals.Inbox) -> int:
-    # Deferred until signals are held: see `signals.held`.
+def _run(pending_signals: signals.PendingSignals) -> int:
+    # Deferred until signals are held: see `signals.run_with_deferred_signals`.
     from sesamecross.entry import app
     from sesamecross.parser import settings
     from sesamecross.runtime import launch
 
     return launch.launch(
-        __doc__, settings.EntrySettings, app.EntryApp.from_settings, inbox
+        __doc__,
+        settings.EntrySettings,
+        app.EntryApp.from_settings,
+        pending_signals,
     )
 
 
--- a/sesamecross/scripts/fake_engine.py
+++ b/sesamecross/scripts/fake_engine.py
@@ -7,11 +7,11 @@
 
 def main() -> int:
     """Returns the exit code."""
-    return signals.held(_run)
+    return signals.run_with_deferred_signals(_run)
 
 
-def _run(inbox: signals.Inbox) -> int:
-    # Deferred until signals are held: see `signals.held`.
+def _run(pending_signals: signals.PendingSignals) -> int:
+    # Deferred until signals are held: see `signals.run_with_deferred_signals`.
     from sesamecross.fakes import base
     from sesamecross.fakes import engine
 
@@ -27,7 +27,7 @@
     parser.add_argument("--prefix-blocks", type=int, default=4096)
     parser.add_argument("--report-lag-ms", type=int, default=500)
     flags = parser.parse_args()
-    return base.run(flags, engine.EngineServer(flags), inbox)
+    return base.run(flags, engine.EngineServer(flags), pending_signals)
 
 
 if __name__ == "__main__":
--- a/sesamecross/scripts/fault_proxy.py
+++ b/sesamecross/scripts/fault_proxy.py
@@ -7,11 +7,11 @@
 
 def main() -> int:
     """Returns the exit code."""
-    return signals.held(_run)
+    return signals.run_with_deferred_signals(_run)
 
 
-def _run(inbox: signals.Inbox) -> int:
-    # Deferred until signals are held: see `signals.held`.
+def _run(pending_signals: signals.PendingSignals) -> int:
+    # Deferred until signals are held: see `signals.run_with_deferred_signals`.
     from sesamecross.fakes import base
     from sesamecross.fakes import proxy
 
@@ -24,7 +24,7 @@
     )
     flags = parser.parse_args()
     server = proxy.ProxyServer(flags.name, flags.listen, flags.link)
-    return base.run(flags, server, inbox)
+    return base.run(flags, server, pending_signals)
 
 
 if __name__ == "__main__":
--- a/sesamecross/scripts/gateway.py
+++ b/sesamecross/scripts/gateway.py
@@ -7,11 +7,11 @@
 
 def main() -> int:
     """Runs the gateway; returns the exit code."""
-    return signals.held(_run)
+    return signals.run_with_deferred_signals(_run)
 
 
-def _run(inbox: signals.Inbox) -> int:
-    # Deferred until signals are held: see `signals.held`.
+def _run(pending_signals: signals.PendingSignals) -> int:
+    # Deferred until signals are held: see `signals.run_with_deferred_signals`.
     import argparse
 
     from sesamecross.platform import program
@@ -23,7 +23,7 @@
         choices=("debug", "info", "warning", "error"),
         help="the least that is logged",
     )
-    return program.run(parser.parse_args().log_level, inbox)
+    return program.run(parser.parse_args().log_level, pending_signals)
 
 
 if __name__ == "__main__":
--- a/sesamecross/steward/app.py
+++ b/sesamecross/steward/app.py
@@ -49,7 +49,7 @@
     ):
         self._settings = settings
         self._clock = clock
-        self._logger = logs.part("steward")
+        self._logger = logs.get_logger("steward")
         started = f"{uuid.uuid4().hex[:12]}"
         self.me = data.Member(
             data.Incarnation(settings.instance, started),
@@ -308,18 +308,18 @@
         if path == "/metrics":
             self._refresh_metrics()
             body, content_type = self.metrics.render()
-            return http_server.answer(
+            return http_server.send_response(
                 start_response, "200 OK", body, content_type
             )
         if path == "/healthz":
-            return http_server.answer_json(start_response, {"ok": True})
+            return http_server.send_json(start_response, {"ok": True})
         if path == "/readyz":
             ready = self.views.is_ready
             status = "200 OK" if ready else "503 Service Unavailable"
-            return http_server.answer_json(
+            return http_server.send_json(
                 start_response, {"ready": ready}, status
             )
-        return http_server.answer_json(
+        return http_server.send_json(
             start_response, {"error": "no such path"}, "404 Not Found"
         )
 
--- a/sesamecross/steward/claim_keeper.py
+++ b/sesamecross/steward/claim_keeper.py
@@ -56,7 +56,7 @@
         self._contacts = contacts
         self._clock = clock
         self._recorder = recorder
-        self._logger = logs.part("claim-group")
+        self._logger = logs.get_logger("claim-group")
         self._groups: dict[str, claim_group.ClaimGroup] = {}
         self._state: replay.SharedState | None = None
         self._waiting: dict[str, asyncio.Future] = {}
--- a/sesamecross/steward/claims_desk.py
+++ b/sesamecross/steward/claims_desk.py
@@ -45,7 +45,7 @@
         self._hub = hub
         self._keeper = keeper
         self._recorder = recorder
-        self._logger = logs.part("claims")
+        self._logger = logs.get_logger("claims")
         self._zone_of: dict[str, str] = {}
         self._tasks: set[asyncio.Task] = set()
         self.ask: Ask | None = None
--- a/sesamecross/steward/lease_manager.py
+++ b/sesamecross/steward/lease_manager.py
@@ -69,7 +69,7 @@
         )
         self._renewed_ms = 0
         self._challenged_ms = -CHALLENGE_MS
-        self._logger = logs.part("lease")
+        self._logger = logs.get_logger("lease")
         self._leaving = False
         hub.listen(self._on_event)
 
--- a/sesamecross/steward/links.py
+++ b/sesamecross/steward/links.py
@@ -83,7 +83,7 @@
         self._recorder = recorder
         self._rng = rng
         self._heartbeat_s = heartbeat_ms / 1000
-        self._logger = logs.part("links")
+        self._logger = logs.get_logger("links")
         self._open: dict[str, _Open] = {}
         self._connecting: dict[str, asyncio.Task] = {}
         self._retry_at: dict[str, float] = {}
--- a/sesamecross/steward/log_reader.py
+++ b/sesamecross/steward/log_reader.py
@@ -47,7 +47,7 @@
         self._hub = hub
         self._recorder = recorder
         self._rng = rng
-        self._logger = logs.part("log-reader")
+        self._logger = logs.get_logger("log-reader")
         self._reachable = False
         self._caught_up = False
         self._on_gap = on_gap
--- a/sesamecross/steward/log_writer.py
+++ b/sesamecross/steward/log_writer.py
@@ -63,7 +63,7 @@
         self._wake = asyncio.Event()
         self._idle = asyncio.Event()
         self._idle.set()
-        self._logger = logs.part("log-writer")
+        self._logger = logs.get_logger("log-writer")
         self._reachable = True
         self.appends = 0
         self.append_bytes = 0
--- a/sesamecross/steward/mover.py
+++ b/sesamecross/steward/mover.py
@@ -88,7 +88,7 @@
         self._locks: dict[str, asyncio.Lock] = {}
         self._next_load_ms = 0
         self._planning_since_ms: int | None = None
-        self._logger = logs.part("mover")
+        self._logger = logs.get_logger("mover")
         self.shortfalls: tuple[placement.Shortfall, ...] = ()
         self.moves_made = 0
 
--- a/sesamecross/steward/reporter.py
+++ b/sesamecross/steward/reporter.py
@@ -62,7 +62,7 @@
         self._report_s = report_ms / 1000
         self._failures: dict[str, int] = {}
         self._published: dict[str, tuple[data.UpstreamReport, float]] = {}
-        self._logger = logs.part("reporter")
+        self._logger = logs.get_logger("reporter")
 
     @property
     def name(self) -> str:
--- a/sesamecross/steward/server.py
+++ b/sesamecross/steward/server.py
@@ -75,7 +75,7 @@
         self._links = links
         self._on_demand = on_demand
         self._status = status
-        self._logger = logs.part("streams")
+        self._logger = logs.get_logger("streams")
         self._connections = 0
         self._tasks: set[asyncio.Task] = set()
         self.entry: EntrySession | None = None
--- a/sesamecross/steward/snapshotter.py
+++ b/sesamecross/steward/snapshotter.py
@@ -50,7 +50,7 @@
         self._writer = writer
         self._membership = membership
         self._every = every
-        self._logger = logs.part("snapshots")
+        self._logger = logs.get_logger("snapshots")
         self._waits_for = -1
 
     @property
--- a/sesamecross/steward/starter.py
+++ b/sesamecross/steward/starter.py
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         self._app: Any = None
-        self._logger = logs.part("starter")
+        self._logger = logs.get_logger("starter")
         self._gap = False
         self._joined = False
 
--- a/tests/signals_test.py
+++ b/tests/signals_test.py
@@ -211,11 +211,11 @@
 
 
 def _block_signals() -> None:
-    signal.pthread_sigmask(signal.SIG_BLOCK, signals.PLANNED)
+    signal.pthread_sigmask(signal.SIG_BLOCK, signals.HANDLED_SIGNALS)
 
 
 def _ignore_signals() -> None:
-    for number in signals.PLANNED:
+    for number in signals.HANDLED_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
 
 
