--- a/sesamecross/steward/app.py
+++ b/sesamecross/steward/app.py
@@ -21,24 +21,24 @@
 from sesamecross.runtime import logs
 from sesamecross.runtime import metrics as metrics_lib
 from sesamecross.runtime import supervisor
-from sesamecross.steward import claim_keeper
-from sesamecross.steward import claims_desk
-from sesamecross.steward import contacts as contacts_lib
-from sesamecross.steward import demand as demand_lib
-from sesamecross.steward import hub as hub_lib
+from sesamecross.steward import bootstrapper
+from sesamecross.steward import claim_group_manager as claim_group_manager_lib
+from sesamecross.steward import claim_router as claim_router_lib
+from sesamecross.steward import contact_tracker as contact_tracker_lib
+from sesamecross.steward import demand_tracker as demand_tracker_lib
+from sesamecross.steward import engine_poller as engine_poller_lib
 from sesamecross.steward import lease_manager
-from sesamecross.steward import links as links_lib
+from sesamecross.steward import local_replica as local_replica_lib
 from sesamecross.steward import log_reader
 from sesamecross.steward import log_writer
-from sesamecross.steward import mover as mover_lib
-from sesamecross.steward import reporter as reporter_lib
+from sesamecross.steward import peer_links as peer_links_lib
+from sesamecross.steward import placement_controller as placement_controller_lib
 from sesamecross.steward import server as server_lib
 from sesamecross.steward import snapshotter as snapshotter_lib
-from sesamecross.steward import starter
-from sesamecross.steward import views as views_lib
+from sesamecross.steward import view_sender as view_sender_lib
 
 LEAVE_WAIT_S = 3.0
-HAND_OVER_S = 5.0
+HANDOVER_TIMEOUT_S = 5.0
 
 
 class StewardApp:
@@ -62,8 +62,8 @@
         )
         self.metrics = metrics_lib.Metrics()
         self._rng = random.Random(os.urandom(8))
-        self.hub = hub_lib.Hub(self.recorder)
-        self.hub.listen(self._on_event)
+        self.replica = local_replica_lib.LocalReplica(self.recorder)
+        self.replica.listen(self._on_event)
 
     @classmethod
     def from_settings(
@@ -84,32 +84,35 @@
         self.writer = log_writer.LogWriter(
             self._log, settings.instance, self.recorder, self._rng
         )
-        self._starter = starter.Starter()
+        self._bootstrapper = bootstrapper.Bootstrapper()
         self.reader = log_reader.LogReader(
             self._log,
-            self.hub,
+            self.replica,
             self.recorder,
             self._rng,
-            self._starter.on_gap,
+            self._bootstrapper.on_gap,
         )
-        contacts = contacts_lib.Contacts(self._clock)
-        self.keeper = claim_keeper.ClaimKeeper(
+        contact_tracker = contact_tracker_lib.ContactTracker(self._clock)
+        self.claim_group_manager = claim_group_manager_lib.ClaimGroupManager(
             self.me,
-            self.hub,
+            self.replica,
             self.reader,
             self.writer,
             self._membership,
-            contacts,
+            contact_tracker,
             self._clock,
             self.recorder,
         )
-        desk = claims_desk.ClaimsDesk(
-            self.me.incarnation, self.hub, self.keeper, self.recorder
+        claim_router = claim_router_lib.ClaimRouter(
+            self.me.incarnation,
+            self.replica,
+            self.claim_group_manager,
+            self.recorder,
         )
-        self.links = links_lib.Links(
+        self.peer_links = peer_links_lib.PeerLinks(
             self.me,
             settings.shared_key,
-            self.hub,
+            self.replica,
             self._store,
             self._membership,
             instances_http.HttpInstances(settings.instances_url),
@@ -117,63 +120,67 @@
             self.recorder,
             self._rng,
             settings.heartbeat_ms,
-            contacts,
-            self.keeper,
-            desk,
+            contact_tracker,
+            self.claim_group_manager,
+            claim_router,
         )
-        self.reporter = reporter_lib.Reporter(
+        self.engine_poller = engine_poller_lib.EnginePoller(
             self.me,
-            self.hub,
+            self.replica,
             self._store,
             self._membership,
             self._engines,
             self.recorder,
             settings.report_ms,
         )
-        self.demand = demand_lib.Demand(self.me, self._store, self.recorder)
+        self.demand_tracker = demand_tracker_lib.DemandTracker(
+            self.me, self._store, self.recorder
+        )
         self.lease = lease_manager.LeaseManager(
             self.me,
             settings,
-            self.hub,
+            self.replica,
             self.reader,
             self.writer,
             self._membership,
             self._clock,
             self.recorder,
         )
-        self.mover = mover_lib.Mover(
-            self.me,
-            self.hub,
-            self.lease,
-            self.reader,
-            self.writer,
-            self.reporter,
-            self._engines,
-            self.demand,
-            self._clock,
-            self.recorder,
-            settings.plan_ms,
+        self.placement_controller = (
+            placement_controller_lib.PlacementController(
+                self.me,
+                self.replica,
+                self.lease,
+                self.reader,
+                self.writer,
+                self.engine_poller,
+                self._engines,
+                self.demand_tracker,
+                self._clock,
+                self.recorder,
+                settings.plan_ms,
+            )
         )
         self.server = server_lib.Server(
             settings.listen,
             settings.shared_key,
             self.recorder,
-            desk,
-            self.links,
+            claim_router,
+            self.peer_links,
             self._on_demand,
             self.status,
         )
-        self.views = views_lib.Views(
-            self.hub,
-            self.reporter,
+        self.view_sender = view_sender_lib.ViewSender(
+            self.replica,
+            self.engine_poller,
             self.reader,
             self.server,
             self._membership,
         )
-        self._starter.bind(self)
+        self._bootstrapper.bind(self)
         snapshotter = snapshotter_lib.Snapshotter(
             self.me,
-            self.hub,
+            self.replica,
             self.reader,
             self.writer,
             self._membership,
@@ -188,37 +195,41 @@
         return [
             self.writer,
             self.reader,
-            self.links,
+            self.peer_links,
             self.server,
-            self._starter,
-            self.keeper,
-            self.reporter,
+            self._bootstrapper,
+            self.claim_group_manager,
+            self.engine_poller,
             self.lease,
-            self.mover,
-            self.views,
+            self.placement_controller,
+            self.view_sender,
             snapshotter,
             http,
         ]
 
     async def drain(self) -> None:
         """Leaves: the lease is given back and the leave is on the log."""
-        self.links.leaving = True
-        self.keeper.leaving = True
-        await self.mover.stop()
+        self.peer_links.leaving = True
+        self.claim_group_manager.leaving = True
+        await self.placement_controller.stop()
         await self.lease.stop()
         if self.reader.reachable:
-            handed_over = await self.keeper.handed_over(HAND_OVER_S)
+            handed_over = await self.claim_group_manager.handed_over(
+                HANDOVER_TIMEOUT_S
+            )
             self._logger.info("claims are handed over", done=handed_over)
         try:
             if self.writer.reachable:
                 self.writer.submit(records.MemberLeft(self.me.incarnation))
-            await asyncio.wait_for(self.writer.flushed(), LEAVE_WAIT_S)
-        except (TimeoutError, log_writer.QueueFull):
+            await asyncio.wait_for(
+                self.writer.wait_until_flushed(), LEAVE_WAIT_S
+            )
+        except (TimeoutError, log_writer.QueueFullError):
             self._logger.warning("the log is away, leaving without a record")
 
     def status(self, request_id: str) -> messages.StatusReply:
         """Returns what operators see of this steward."""
-        state = self.hub.state
+        state = self.replica.state
         unresolved = tuple(
             (
                 intent.order.order_id,
@@ -243,7 +254,7 @@
             self.server.entry is not None,
             self.server.entry.version if self.server.entry else -1,
             tuple(self._peer_statuses()),
-            tuple(self.reporter.reports()),
+            tuple(self.engine_poller.reports()),
             {
                 zone: lease.holder.instance
                 for zone, lease in sorted(state.leases.leases.items())
@@ -252,10 +263,10 @@
             tuple(sorted(state.draining)),
             tuple(
                 f"{s.name} {s.reason}; {s.remedy}"
-                for s in self.mover.shortfalls
+                for s in self.placement_controller.shortfalls
             ),
             open_claims,
-            self.mover.moves_made,
+            self.placement_controller.applied_order_count,
         )
 
     def _peer_statuses(self) -> list[messages.PeerStatus]:
@@ -265,7 +276,7 @@
             belief = self._membership.state_of(name)
             if belief is None:
                 continue
-            heartbeat = self.links.heartbeats.get(name)
+            heartbeat = self.peer_links.heartbeats.get(name)
             statuses.append(
                 messages.PeerStatus(
                     name,
@@ -280,7 +291,7 @@
         return statuses
 
     def _on_demand(self, report: messages.DemandReport) -> None:
-        self.demand.report(report.calls, report.interval_ms)
+        self.demand_tracker.report(report.calls, report.interval_ms)
 
     def _on_event(self, event: replay.AppliedRecord) -> None:
         match event.record:
@@ -314,7 +325,7 @@
         if path == "/healthz":
             return http_server.send_json(start_response, {"ok": True})
         if path == "/readyz":
-            ready = self.views.is_ready
+            ready = self.view_sender.is_ready
             status = "200 OK" if ready else "503 Service Unavailable"
             return http_server.send_json(
                 start_response, {"ready": ready}, status
@@ -324,7 +335,7 @@
         )
 
     def _refresh_metrics(self) -> None:
-        state = self.hub.state
+        state = self.replica.state
         gauges = {
             "sesamecross_config_version": (
                 "Configuration version in force.",
@@ -360,11 +371,11 @@
             ),
             "sesamecross_peer_bytes": (
                 "Bytes sent to other stewards.",
-                self.links.bytes_sent,
+                self.peer_links.bytes_sent,
             ),
             "sesamecross_moves": (
                 "Orders applied under this steward's lease.",
-                self.mover.moves_made,
+                self.placement_controller.applied_order_count,
             ),
         }
         for name, (doc, value) in gauges.items():
--- a/sesamecross/steward/app_test.py
+++ b/sesamecross/steward/app_test.py
@@ -40,12 +40,14 @@
         lease = leases.Lease("z", app.me.incarnation, 1)
         held = lease if holds_lease else None
         monkeypatch.setattr(
-            lease_manager.LeaseManager, "held", lambda _keeper: held
+            lease_manager.LeaseManager,
+            "held",
+            lambda _claim_group_manager: held,
         )
         monkeypatch.setattr(app_lib, "LEAVE_WAIT_S", 0.01)
-        for number in range(log_writer.MAX_QUEUE):
+        for number in range(log_writer.MAX_QUEUE_LENGTH):
             app.writer.submit(number)
         await app.drain()
-        return app.links.leaving
+        return app.peer_links.leaving
 
     assert asyncio.run(story())
--- a/sesamecross/steward/starter.py
+++ b/sesamecross/steward/bootstrapper.py
@@ -16,7 +16,7 @@
 PEERS_AFTER_S = 1.0
 
 
-class Starter:
+class Bootstrapper:
     """Component that makes the steward ready, and mends gaps later."""
 
     __slots__ = ("_app", "_logger", "_gap", "_joined")
@@ -45,7 +45,7 @@
         loop = asyncio.get_running_loop()
         waited_from = loop.time()
         said = False
-        while not self._app.views.is_ready:
+        while not self._app.view_sender.is_ready:
             await asyncio.sleep(TICK_S)
             waited_s = loop.time() - waited_from
             if self._app.reader.caught_up:
@@ -67,11 +67,11 @@
         while True:
             await asyncio.sleep(TICK_S * 4)
             app = self._app
-            app.links.log_reachable = app.reader.reachable
+            app.peer_links.log_reachable = app.reader.reachable
             self._join()
             if self._gap:
                 self._gap = False
-                await app.links.fetch_state()
+                await app.peer_links.fetch_state()
 
     def _join(self) -> None:
         """Introduces this incarnation once the log can be appended to."""
@@ -82,20 +82,20 @@
         app.writer.submit(records.MemberJoined(app.me))
 
     async def _from_peers(self) -> bool:
-        state = self._app.hub.state
+        state = self._app.replica.state
         before = state.next_offset
-        await self._app.links.fetch_state()
-        return self._app.hub.state.next_offset > before
+        await self._app.peer_links.fetch_state()
+        return self._app.replica.state.next_offset > before
 
     def _ready(self, source: str) -> None:
         app = self._app
-        app.links.introduce_members()
-        app.links.ready = True
-        app.links.log_reachable = app.reader.reachable
-        app.views.is_ready = True
-        app.keeper.is_ready = True
+        app.peer_links.add_replayed_members()
+        app.peer_links.ready = True
+        app.peer_links.log_reachable = app.reader.reachable
+        app.view_sender.is_ready = True
+        app.claim_group_manager.is_ready = True
         self._join()
-        version = app.hub.state.config.state.version
+        version = app.replica.state.config.state.version
         self._logger.info("ready", source=source, version=version)
         app.recorder.add(
             timeline.EventKind.PROCESS,
--- a/sesamecross/steward/claim_keeper.py
+++ b/sesamecross/steward/claim_group_manager.py
@@ -20,8 +20,8 @@
 from sesamecross.ops import replay
 from sesamecross.ops import timeline
 from sesamecross.runtime import logs
-from sesamecross.steward import contacts as contacts_lib
-from sesamecross.steward import hub as hub_lib
+from sesamecross.steward import contact_tracker as contact_tracker_lib
+from sesamecross.steward import local_replica as local_replica_lib
 from sesamecross.steward import log_reader
 from sesamecross.steward import log_writer
 
@@ -34,26 +34,26 @@
 Post = Callable[[data.Incarnation, object], None]
 
 
-class ClaimKeeper:
+class ClaimGroupManager:
     """Component that owns the claim groups."""
 
     def __init__(
         self,
         me: data.Member,
-        hub: hub_lib.Hub,
+        replica: local_replica_lib.LocalReplica,
         reader: log_reader.LogReader,
         writer: log_writer.LogWriter,
         membership: membership_lib.Membership,
-        contacts: contacts_lib.Contacts,
+        contact_tracker: contact_tracker_lib.ContactTracker,
         clock: clock_lib.Clock,
         recorder: timeline.Recorder,
     ):
         self._me = me
-        self._hub = hub
+        self._replica = replica
         self._reader = reader
         self._writer = writer
         self._membership = membership
-        self._contacts = contacts
+        self._contact_tracker = contact_tracker
         self._clock = clock
         self._recorder = recorder
         self._logger = logs.get_logger("claim-group")
@@ -66,7 +66,7 @@
         self.post: Post | None = None
         self.leaving = False
         self.is_ready = False
-        hub.listen(self._on_event)
+        replica.listen(self._on_event)
 
     @property
     def name(self) -> str:
@@ -106,7 +106,7 @@
         if not successors:
             # The whole deployment stops; the log keeps the claims.
             return False
-        for group in self._hub.state.groups.zones.values():
+        for group in self._replica.state.groups.zones.values():
             current = group.current
             if current is None or me not in current.participants:
                 # Until the next epoch is sealed, it may ask this one.
@@ -126,7 +126,9 @@
         reachable = self._reader.reachable and self._writer.reachable
         for group in self._groups.values():
             group.set_log_reachable(reachable, now_ms)
-            self._act(group.on_replayed(self._hub.state.next_offset, now_ms))
+            self._act(
+                group.on_replayed(self._replica.state.next_offset, now_ms)
+            )
             self._act(group.tick(now_ms))
         if reachable and now_ms - self._ready_ms >= SETTLING_MS:
             self._release_homes()
@@ -135,7 +137,7 @@
 
     def _follow_state(self, now_ms: int) -> None:
         """Gives this steward a part in each zone's group that has one."""
-        state = self._hub.state
+        state = self._replica.state
         if state is not self._state:
             self._state = state
             for group in self._groups.values():
@@ -150,12 +152,14 @@
                     now_ms,
                 )
                 self._groups[zone] = group
-                for peer, in_contact in self._contacts.dead.items():
+                for peer, in_contact in self._contact_tracker.dead.items():
                     self._act(group.on_peer_death(peer, in_contact, now_ms))
 
     def on_peer_death(self, peer: data.Incarnation) -> None:
         """A peer's address refuses, or another incarnation answers there."""
-        in_contact = self._contacts.prove_dead(peer, claim_group.IN_CONTACT_MS)
+        in_contact = self._contact_tracker.record_death(
+            peer, claim_group.IN_CONTACT_MS
+        )
         if in_contact is None:
             return
         # Belief follows votes of watchers, and with a whole zone dead its
@@ -171,9 +175,9 @@
         """Another steward's proof counts here too."""
         if peer == self._me.incarnation:
             return
-        known = self._contacts.dead.get(peer)
+        known = self._contact_tracker.dead.get(peer)
         if known is None or (record.in_contact and not known):
-            self._contacts.dead[peer] = record.in_contact
+            self._contact_tracker.dead[peer] = record.in_contact
             self._note_death(peer, record.in_contact)
 
     def _note_death(self, peer: data.Incarnation, in_contact: bool) -> None:
@@ -198,7 +202,7 @@
     # -- epochs ---
 
     def _propose(self, now_ms: int) -> None:
-        state = self._hub.state
+        state = self._replica.state
         around = self._surroundings()
         zones = {caller.home_zone for caller in self._callers().values()}
         for zone in sorted(zones | state.groups.zones.keys()):
@@ -229,15 +233,15 @@
         # Named by the platform's list only; its incarnation is not known.
         known = {n: m for n, m in alive.items() if m.incarnation.started}
         return group_planner.ClusterView(
-            known, frozenset(self._contacts.dead), frozenset(leaving)
+            known, frozenset(self._contact_tracker.dead), frozenset(leaving)
         )
 
     def _callers(self) -> dict[str, data.Caller]:
-        return self._hub.state.config.declarations.callers
+        return self._replica.state.config.declarations.callers
 
     def _release_homes(self) -> None:
         """Lets go of callers whose declared home is another zone now."""
-        state = self._hub.state
+        state = self._replica.state
         for caller, zone in state.groups.homes.items():
             declared = self._callers().get(caller)
             if declared is None or declared.home_zone == zone:
@@ -372,8 +376,8 @@
 
     def _submit(self, entries: tuple[object, ...]) -> bool:
         try:
-            self._writer.submit_together(entries)
-        except log_writer.QueueFull:
+            self._writer.submit_atomically(entries)
+        except log_writer.QueueFullError:
             # The group's members go on keeping what they keep; records of
             # claims in the dark are appended again with the next epoch.
             self._logger.error("the queue for the log is full")
--- a/sesamecross/steward/claims_desk.py
+++ b/sesamecross/steward/claim_router.py
@@ -16,8 +16,8 @@
 from sesamecross.core import records
 from sesamecross.ops import timeline
 from sesamecross.runtime import logs
-from sesamecross.steward import claim_keeper
-from sesamecross.steward import hub as hub_lib
+from sesamecross.steward import claim_group_manager as claim_group_manager_lib
+from sesamecross.steward import local_replica as local_replica_lib
 
 CLAIM_WAIT_S = 3.5
 FORWARD_WAIT_S = 3.0
@@ -28,30 +28,32 @@
 ABANDONED_S = 5.0
 
 # Sends a request to a steward and returns its reply, or None.
-Ask = Callable[[data.Incarnation, object, str, float], Awaitable[object]]
+SendRequest = Callable[
+    [data.Incarnation, object, str, float], Awaitable[object]
+]
 
 
-class ClaimsDesk:
+class ClaimRouter:
     """Finds who decides, asks, and passes outcomes on."""
 
     def __init__(
         self,
         me: data.Incarnation,
-        hub: hub_lib.Hub,
-        keeper: claim_keeper.ClaimKeeper,
+        replica: local_replica_lib.LocalReplica,
+        claim_group_manager: claim_group_manager_lib.ClaimGroupManager,
         recorder: timeline.Recorder,
     ):
         self._me = me
-        self._hub = hub
-        self._keeper = keeper
+        self._replica = replica
+        self._claim_group_manager = claim_group_manager
         self._recorder = recorder
         self._logger = logs.get_logger("claims")
         self._zone_of: dict[str, str] = {}
         self._tasks: set[asyncio.Task] = set()
-        self.ask: Ask | None = None
+        self.send_request: SendRequest | None = None
 
     def _home(self, caller: str) -> str:
-        return self._hub.state.groups.homes.get(caller, "")
+        return self._replica.state.groups.homes.get(caller, "")
 
     # -- for the own entry -------------------------------------------------
 
@@ -91,9 +93,9 @@
         """Passes an outcome on; tells whether the group keeps it."""
         zone = self._zone_of.get(settled.claim_id, "")
         for _ in range(SETTLE_TRIES):
-            leader = self._keeper.leader_of(zone)
+            leader = self._claim_group_manager.leader_of(zone)
             if leader == self._me or (leader is None and not zone):
-                self._keeper.settle(zone, settled)
+                self._claim_group_manager.settle(zone, settled)
                 break
             if leader is not None and await self._forward_outcome(
                 leader, zone, settled
@@ -102,11 +104,11 @@
             await asyncio.sleep(SETTLE_PAUSE_S)
         else:
             # Nobody of the group can be reached; the log is the last place.
-            self._keeper.settle("", settled)
+            self._claim_group_manager.settle("", settled)
         self._zone_of.pop(settled.claim_id, None)
         return True
 
-    def abandoned(self, claim_ids: set[str]) -> None:
+    def settle_abandoned(self, claim_ids: set[str]) -> None:
         """The entry went away without the outcome of these claims."""
         task = asyncio.create_task(self._give_up(claim_ids))
         self._tasks.add(task)
@@ -126,14 +128,16 @@
     async def _decide(
         self, zone: str, record: records.ClaimMade, only_look: bool
     ) -> data.ClaimVerdict | None:
-        leader = self._keeper.leader_of(zone)
+        leader = self._claim_group_manager.leader_of(zone)
         if leader is None:
             return None
         if leader == self._me:
             return await self.decide_here(zone, record, only_look)
         request_id = uuid.uuid4().hex
         forward = messages.ClaimForward(request_id, zone, record, only_look)
-        reply = await self.ask(leader, forward, request_id, CLAIM_WAIT_S)
+        reply = await self.send_request(
+            leader, forward, request_id, CLAIM_WAIT_S
+        )
         if isinstance(reply, messages.ClaimReply):
             return reply.verdict
         return None
@@ -143,8 +147,8 @@
     ) -> data.ClaimVerdict | None:
         """Decides at this steward, which should be the leader."""
         if only_look:
-            return self._keeper.look_up(zone, record)
-        future = self._keeper.claim(zone, record)
+            return self._claim_group_manager.look_up(zone, record)
+        future = self._claim_group_manager.claim(zone, record)
         done, _ = await asyncio.wait([future], timeout=FORWARD_WAIT_S)
         if done:
             return future.result()
@@ -156,7 +160,7 @@
     def _on_late(self, zone: str, verdict: data.ClaimVerdict | None) -> None:
         if verdict is not None and verdict.state is data.ClaimState.WON:
             self._zone_of[verdict.claim_id] = zone
-            self.not_wanted(verdict.claim_id)
+            self.cancel_claim(verdict.claim_id)
 
     async def _forward_outcome(
         self,
@@ -166,7 +170,9 @@
     ) -> bool:
         request_id = uuid.uuid4().hex
         forward = messages.OutcomeForward(request_id, zone, settled)
-        reply = await self.ask(leader, forward, request_id, FORWARD_WAIT_S)
+        reply = await self.send_request(
+            leader, forward, request_id, FORWARD_WAIT_S
+        )
         return isinstance(reply, messages.Done) and reply.ok
 
     # -- for other stewards ----------------------------------------------------
@@ -180,10 +186,10 @@
 
     def on_outcome(self, forward: messages.OutcomeForward) -> object:
         """Keeps another steward's outcome; returns the reply."""
-        ok = self._keeper.settle(forward.zone, forward.settled)
+        ok = self._claim_group_manager.settle(forward.zone, forward.settled)
         return messages.Done(forward.request_id, ok)
 
-    def not_wanted(self, claim_id: str) -> None:
+    def cancel_claim(self, claim_id: str) -> None:
         """A claim was won for somebody who does not wait any more.
 
         Its call was not dispatched and will not be.
--- a/sesamecross/steward/contacts.py
+++ b/sesamecross/steward/contact_tracker.py
@@ -14,7 +14,7 @@
 BEATS_KEPT = 64
 
 
-class Contacts:
+class ContactTracker:
     """Beats sent to each instance and what was heard of them."""
 
     __slots__ = ("_clock", "_sent", "_touched", "_heard_count", "dead")
@@ -26,7 +26,7 @@
         self._heard_count: dict[str, int] = {}
         self.dead: dict[data.Incarnation, bool] = {}
 
-    def sent(self, instance: str, count: int) -> None:
+    def record_sent(self, instance: str, count: int) -> None:
         """A heartbeat leaves for an instance."""
         beats = self._sent.setdefault(instance, deque(maxlen=BEATS_KEPT))
         beats.append((count, self._clock.monotonic_ms()))
@@ -44,7 +44,7 @@
             if count == heartbeat.echo:
                 self._touched[incarnation] = (at_ms, clean)
 
-    def prove_dead(
+    def record_death(
         self, incarnation: data.Incarnation, within_ms: int
     ) -> bool | None:
         """Notes a proof of death.
--- a/sesamecross/steward/demand.py
+++ b/sesamecross/steward/demand_tracker.py
@@ -16,7 +16,7 @@
 SMALLEST_RATE = 0.001
 
 
-class Demand:
+class DemandTracker:
     """Smooths one entry's counts and sums up those of all."""
 
     __slots__ = ("_me", "_store", "_recorder", "_rates")
--- a/sesamecross/steward/reporter.py
+++ b/sesamecross/steward/engine_poller.py
@@ -15,7 +15,7 @@
 from sesamecross.ops import timeline
 from sesamecross.ports import engine_http
 from sesamecross.runtime import logs
-from sesamecross.steward import hub as hub_lib
+from sesamecross.steward import local_replica as local_replica_lib
 from sesamecross.utils import rendezvous
 
 REPORT_PREFIX = "report/"
@@ -27,12 +27,12 @@
 IDLE_REFRESH_S = 5.0
 
 
-class Reporter:
+class EnginePoller:
     """Component that polls this steward's share of the zone's engines."""
 
     __slots__ = (
         "_me",
-        "_hub",
+        "_replica",
         "_store",
         "_membership",
         "_engines",
@@ -46,7 +46,7 @@
     def __init__(
         self,
         me: data.Member,
-        hub: hub_lib.Hub,
+        replica: local_replica_lib.LocalReplica,
         store: gossip.ItemStore,
         membership: membership_lib.Membership,
         engines: engine_http.HttpEngine,
@@ -54,7 +54,7 @@
         report_ms: int,
     ):
         self._me = me
-        self._hub = hub
+        self._replica = replica
         self._store = store
         self._membership = membership
         self._engines = engines
@@ -84,7 +84,7 @@
         me = self._me.incarnation.instance
         return [
             upstream
-            for upstream in self._hub.state.config.declarations.engines()
+            for upstream in self._replica.state.config.declarations.engines()
             if upstream.zone == self._me.zone
             and rendezvous.top(f"poll/{upstream.name}", alive, 1) == [me]
         ]
--- a/sesamecross/steward/lease_manager.py
+++ b/sesamecross/steward/lease_manager.py
@@ -15,7 +15,7 @@
 from sesamecross.ops import timeline
 from sesamecross.parser import settings as settings_lib
 from sesamecross.runtime import logs
-from sesamecross.steward import hub as hub_lib
+from sesamecross.steward import local_replica as local_replica_lib
 from sesamecross.steward import log_reader
 from sesamecross.steward import log_writer
 
@@ -31,7 +31,7 @@
 
     __slots__ = (
         "_me",
-        "_hub",
+        "_replica",
         "_reader",
         "_writer",
         "_membership",
@@ -49,7 +49,7 @@
         self,
         me: data.Member,
         settings: settings_lib.StewardSettings,
-        hub: hub_lib.Hub,
+        replica: local_replica_lib.LocalReplica,
         reader: log_reader.LogReader,
         writer: log_writer.LogWriter,
         membership: membership_lib.Membership,
@@ -57,7 +57,7 @@
         recorder: timeline.Recorder,
     ):
         self._me = me
-        self._hub = hub
+        self._replica = replica
         self._reader = reader
         self._writer = writer
         self._membership = membership
@@ -71,7 +71,7 @@
         self._challenged_ms = -CHALLENGE_MS
         self._logger = logs.get_logger("lease")
         self._leaving = False
-        hub.listen(self._on_event)
+        replica.listen(self._on_event)
 
     @property
     def name(self) -> str:
@@ -80,7 +80,7 @@
 
     def held(self) -> leases.Lease | None:
         """Returns the lease if this incarnation holds it."""
-        lease = self._hub.state.leases.leases.get(self._me.zone)
+        lease = self._replica.state.leases.leases.get(self._me.zone)
         if lease is None or lease.holder != self._me.incarnation:
             return None
         return lease
@@ -100,7 +100,7 @@
             return
         try:
             self._writer.submit(records.LeaseReleased(lease.zone, lease.offset))
-        except log_writer.QueueFull:
+        except log_writer.QueueFullError:
             # Others take it after its lapse; the stop itself must go on.
             self._logger.warning("the queue for the log is full, lease lapses")
             return
@@ -124,7 +124,7 @@
         self._challenge(now_ms)
 
     def _challenge(self, now_ms: int) -> None:
-        current = self._hub.state.leases.leases.get(self._me.zone)
+        current = self._replica.state.leases.leases.get(self._me.zone)
         alive = self._membership.alive_in_zone()
         rank = alive.index(self._me.incarnation.instance)
         if not self._watch.may_challenge(now_ms, current, rank):
--- a/sesamecross/steward/hub.py
+++ b/sesamecross/steward/local_replica.py
@@ -25,33 +25,33 @@
     return None
 
 
-class Hub:
+class LocalReplica:
     """Holds the replica; runs on the event loop only."""
 
-    __slots__ = ("replica", "_listeners", "_waiters", "_recorder")
+    __slots__ = ("log_replica", "_listeners", "_waiters", "_recorder")
 
     def __init__(self, recorder: timeline.Recorder) -> None:
         self._recorder = recorder
-        self.replica = catchup.Replica(self._on_events)
+        self.log_replica = catchup.Replica(self._on_events)
         self._listeners: list[Listener] = []
         self._waiters: dict[str, list[asyncio.Future]] = {}
 
     @property
     def state(self) -> replay.SharedState:
         """The replayed state."""
-        return self.replica.state
+        return self.log_replica.state
 
     def listen(self, listener: Listener) -> None:
         """Calls `listener` with each event from now on."""
         self._listeners.append(listener)
 
-    def expect(self, record: Any) -> asyncio.Future:
+    def result_future(self, record: Any) -> asyncio.Future:
         """Returns a future of the record's result at replay."""
         future = asyncio.get_running_loop().create_future()
         self._waiters.setdefault(key_of(record), []).append(future)
         return future
 
-    def forget(self, record: Any, future: asyncio.Future) -> None:
+    def cancel_wait(self, record: Any, future: asyncio.Future) -> None:
         """Stops waiting."""
         waiting = self._waiters.get(key_of(record), [])
         if future in waiting:
--- a/sesamecross/steward/log_reader.py
+++ b/sesamecross/steward/log_reader.py
@@ -14,11 +14,11 @@
 from sesamecross.ops import timeline
 from sesamecross.ports import log_http
 from sesamecross.runtime import logs
-from sesamecross.steward import hub as hub_lib
+from sesamecross.steward import local_replica as local_replica_lib
 
 WAIT_MS = 1000
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 1.0
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
 
 
 class LogReader:
@@ -26,7 +26,7 @@
 
     __slots__ = (
         "_log",
-        "_hub",
+        "_replica",
         "_recorder",
         "_rng",
         "_logger",
@@ -38,13 +38,13 @@
     def __init__(
         self,
         log: log_http.HttpLog,
-        hub: hub_lib.Hub,
+        replica: local_replica_lib.LocalReplica,
         recorder: timeline.Recorder,
         rng: random.Random,
         on_gap: Callable[[], None],
     ):
         self._log = log
-        self._hub = hub
+        self._replica = replica
         self._recorder = recorder
         self._rng = rng
         self._logger = logs.get_logger("log-reader")
@@ -69,30 +69,30 @@
 
     async def run(self) -> None:
         """Reads until cancelled."""
-        pause = FIRST_PAUSE_S
+        pause = INITIAL_BACKOFF_S
         while True:
-            start = self._hub.replica.read_offset
+            start = self._replica.log_replica.read_offset
             wait_ms = WAIT_MS if self._caught_up else 0
             result = await asyncio.to_thread(self._log.read, start, wait_ms)
             if isinstance(result, Success):
-                pause = FIRST_PAUSE_S
+                pause = INITIAL_BACKOFF_S
                 self._set_reachable(True, "")
                 self._take(result.unwrap())
                 continue
             self._set_reachable(False, str(result.failure()))
             await asyncio.sleep(pause * self._rng.uniform(0.5, 1.0))
-            pause = min(pause * 2, LONGEST_PAUSE_S)
+            pause = min(pause * 2, MAX_BACKOFF_S)
 
     async def stop(self) -> None:
         """Nothing is open between reads."""
 
     def _take(self, page: log_http.Page) -> None:
-        replica = self._hub.replica
-        replica.feed(page.start, page.payloads)
+        log_replica = self._replica.log_replica
+        log_replica.feed(page.start, page.payloads)
         at_end = page.start + len(page.payloads) >= page.next_offset
         if not at_end:
             return
-        if replica.progress is catchup.CatchupState.FOLLOWING:
+        if log_replica.progress is catchup.CatchupState.FOLLOWING:
             self._caught_up = True
             return
         # The log holds no snapshot that joins what it still has; only a
--- a/sesamecross/steward/log_writer.py
+++ b/sesamecross/steward/log_writer.py
@@ -22,12 +22,12 @@
 
 MAX_GROUP = 200
 MAX_GROUP_BYTES = 512 * 1024
-MAX_QUEUE = 10_000
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 2.0
+MAX_QUEUE_LENGTH = 10_000
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 2.0
 
 
-class QueueFull(Exception):
+class QueueFullError(Exception):
     """Too much waits for the log; the submitter must refuse its work."""
 
 
@@ -84,16 +84,16 @@
         Raises:
           QueueFull: The log has been away for long.
         """
-        self.submit_together((record,))
+        self.submit_atomically((record,))
 
-    def submit_together(self, entries: tuple[Any, ...]) -> None:
+    def submit_atomically(self, entries: tuple[Any, ...]) -> None:
         """Queues records that must be on the log together or not at all.
 
         Raises:
           QueueFull: The log has been away for long.
         """
-        if len(self._queue) >= MAX_QUEUE:
-            raise QueueFull
+        if len(self._queue) >= MAX_QUEUE_LENGTH:
+            raise QueueFullError
         size = sum(len(codec.encode(entry)) for entry in entries)
         self._queue.append((entries, size))
         self._idle.clear()
@@ -105,14 +105,14 @@
         Raises:
           QueueFull: The log has been away for long.
         """
-        if len(self._queue) >= MAX_QUEUE:
-            raise QueueFull
+        if len(self._queue) >= MAX_QUEUE_LENGTH:
+            raise QueueFullError
         # Larger than any group: nothing joins it, and it joins nothing.
         self._queue.append(((record,), MAX_GROUP_BYTES + 1))
         self._idle.clear()
         self._wake.set()
 
-    async def flushed(self) -> None:
+    async def wait_until_flushed(self) -> None:
         """Waits until everything submitted has been answered for."""
         await self._idle.wait()
 
@@ -128,7 +128,7 @@
     async def stop(self) -> None:
         """Gives what is queued a last moment."""
         try:
-            await asyncio.wait_for(self.flushed(), 1.0)
+            await asyncio.wait_for(self.wait_until_flushed(), 1.0)
         except TimeoutError:
             self._logger.warning(
                 "records are lost with this stop", records=len(self._queue)
@@ -153,7 +153,7 @@
             (stamp.wall_ms, stamp.count),
         )
         payload = codec.encode(envelope)
-        pause = FIRST_PAUSE_S
+        pause = INITIAL_BACKOFF_S
         while True:
             result = await asyncio.to_thread(self._log.append, payload)
             if isinstance(result, Success):
@@ -165,7 +165,7 @@
             # Jitter keeps the stewards of a deployment from coming back to
             # a recovering log all at once.
             await asyncio.sleep(pause * self._rng.uniform(0.5, 1.0))
-            pause = min(pause * 2, LONGEST_PAUSE_S)
+            pause = min(pause * 2, MAX_BACKOFF_S)
 
     def _set_reachable(self, reachable: bool, reason: str) -> None:
         if reachable == self._reachable:
--- a/sesamecross/steward/links.py
+++ b/sesamecross/steward/peer_links.py
@@ -23,10 +23,10 @@
 from sesamecross.ops import timeline
 from sesamecross.ports import instances_http
 from sesamecross.runtime import logs
-from sesamecross.steward import claim_keeper
-from sesamecross.steward import claims_desk
-from sesamecross.steward import contacts as contacts_lib
-from sesamecross.steward import hub as hub_lib
+from sesamecross.steward import claim_group_manager as claim_group_manager_lib
+from sesamecross.steward import claim_router as claim_router_lib
+from sesamecross.steward import contact_tracker as contact_tracker_lib
+from sesamecross.steward import local_replica as local_replica_lib
 from sesamecross.transport import streams
 
 ITEMS_PER_MESSAGE = 200
@@ -45,14 +45,14 @@
     link: gossip.PeerVersions
 
 
-class Links:
+class PeerLinks:
     """Component that keeps the overlay's streams."""
 
     def __init__(
         self,
         me: data.Member,
         shared_key: str,
-        hub: hub_lib.Hub,
+        replica: local_replica_lib.LocalReplica,
         store: gossip.ItemStore,
         membership: membership_lib.Membership,
         instances: instances_http.HttpInstances,
@@ -60,22 +60,22 @@
         recorder: timeline.Recorder,
         rng: random.Random,
         heartbeat_ms: int,
-        contacts: contacts_lib.Contacts,
-        keeper: claim_keeper.ClaimKeeper,
-        desk: claims_desk.ClaimsDesk,
+        contact_tracker: contact_tracker_lib.ContactTracker,
+        claim_group_manager: claim_group_manager_lib.ClaimGroupManager,
+        claim_router: claim_router_lib.ClaimRouter,
     ):
-        self._contacts = contacts
-        self._keeper = keeper
-        self._desk = desk
-        keeper.post = self.post
-        desk.ask = self.ask
+        self._contact_tracker = contact_tracker
+        self._claim_group_manager = claim_group_manager
+        self._claim_router = claim_router
+        claim_group_manager.post = self.post
+        claim_router.send_request = self.send_request
         self._replies: dict[str, asyncio.Future] = {}
         self._tasks: set[asyncio.Task] = set()
         # Where members were, also after they left membership.
         self._addresses: dict[data.Incarnation, data.Member] = {}
         self._me = me
         self._shared_key = shared_key
-        self._hub = hub
+        self._replica = replica
         self._store = store
         self._membership = membership
         self._instances = instances
@@ -94,7 +94,7 @@
         self.log_reachable = False
         self.ready = False
         self.bytes_sent = 0
-        hub.listen(self._on_event)
+        replica.listen(self._on_event)
 
     @property
     def name(self) -> str:
@@ -178,7 +178,7 @@
         """Returns those with whom this steward has a part in a group."""
         me = self._me.incarnation
         peers = {}
-        for group in self._hub.state.groups.zones.values():
+        for group in self._replica.state.groups.zones.values():
             chain = group.chain
             if not any(me in c.participants for c in chain):
                 continue
@@ -188,7 +188,7 @@
                     if member is None or member.incarnation != peer:
                         # Gone from membership, but its end must be proved.
                         member = self._addresses.get(peer)
-                    is_dead = peer in self._contacts.dead
+                    is_dead = peer in self._contact_tracker.dead
                     if peer != me and member is not None and not is_dead:
                         peers[peer.instance] = member
         return peers
@@ -206,7 +206,7 @@
             # Nobody listens there, and a steward listens for as long as it
             # lives: this incarnation is dead.
             if member.incarnation.started:
-                self._keeper.on_peer_death(member.incarnation)
+                self._claim_group_manager.on_peer_death(member.incarnation)
             return False
         except streams.StreamClosedError:
             return False
@@ -246,7 +246,7 @@
         await asyncio.sleep(0)
         return self._open.get(to.instance)
 
-    async def ask(
+    async def send_request(
         self,
         to: data.Incarnation,
         message: object,
@@ -273,12 +273,12 @@
         elif isinstance(reply, messages.ClaimReply):
             verdict = reply.verdict
             if verdict is not None and verdict.state is data.ClaimState.WON:
-                self._desk.not_wanted(verdict.claim_id)
+                self._claim_router.cancel_claim(verdict.claim_id)
 
     async def _on_forward(
         self, one: _Open, forward: messages.ClaimForward
     ) -> None:
-        reply = await self._desk.on_forward(forward)
+        reply = await self._claim_router.on_forward(forward)
         with contextlib.suppress(streams.StreamClosedError):
             await one.stream.send(reply)
 
@@ -310,12 +310,12 @@
             case messages.StateRequest(request_id=request_id):
                 snapshot = None
                 if self.ready:
-                    snapshot = replay.snapshot(self._hub.state)
+                    snapshot = replay.snapshot(self._replica.state)
                 await one.stream.send(messages.StateReply(request_id, snapshot))
             case messages.ClaimForward():
                 self._spawn(self._on_forward(one, message))
             case messages.OutcomeForward():
-                await one.stream.send(self._desk.on_outcome(message))
+                await one.stream.send(self._claim_router.on_outcome(message))
             case messages.ClaimReply() | messages.Done():
                 self._on_reply(message)
             case (
@@ -326,7 +326,7 @@
                 | gm.ClaimWithdrawn()
                 | gm.ClaimTold()
             ):
-                answer = self._keeper.on_message(message)
+                answer = self._claim_group_manager.on_message(message)
                 if answer is not None:
                     await one.stream.send(answer)
             case messages.StateReply(request_id=request_id):
@@ -345,11 +345,11 @@
             and earlier.incarnation != incarnation
         ):
             # Another process answers at the instance's address.
-            self._keeper.on_peer_death(earlier.incarnation)
+            self._claim_group_manager.on_peer_death(earlier.incarnation)
         self._heard[instance] = heartbeat
         self._remember(heartbeat.member)
-        self._contacts.on_heartbeat(heartbeat)
-        self._keeper.on_peer_heartbeat(incarnation)
+        self._contact_tracker.on_heartbeat(heartbeat)
+        self._claim_group_manager.on_peer_heartbeat(incarnation)
         changes = self._membership.on_heartbeat(
             heartbeat.member, heartbeat.leaving, self._clock.monotonic_ms()
         )
@@ -387,16 +387,16 @@
     async def _send_heartbeat(self, one: _Open) -> None:
         self._count += 1
         instance = one.link.peer
-        self._contacts.sent(instance, self._count)
+        self._contact_tracker.record_sent(instance, self._count)
         heartbeat = messages.Heartbeat(
             self._me,
             self._count,
-            self._hub.state.next_offset,
-            self._hub.state.config.state.version,
+            self._replica.state.next_offset,
+            self._replica.state.config.state.version,
             self.log_reachable,
             self.leaving,
-            self._contacts.echo_for(instance),
-            self._keeper.isolated_claim_count,
+            self._contact_tracker.echo_for(instance),
+            self._claim_group_manager.isolated_claim_count,
         )
         self.bytes_sent += await one.stream.send(heartbeat)
 
@@ -412,22 +412,23 @@
             except (streams.StreamClosedError, TimeoutError):
                 self._states.pop(request_id, None)
                 continue
-            if snapshot is not None and self._hub.replica.install_snapshot(
-                snapshot
+            if (
+                snapshot is not None
+                and self._replica.log_replica.install_snapshot(snapshot)
             ):
                 self._logger.info(
                     "state is taken from a peer",
                     peer=one.link.peer,
                     offset=snapshot.upto,
                 )
-                self.introduce_members()
+                self.add_replayed_members()
                 return True
         return False
 
-    def introduce_members(self) -> None:
+    def add_replayed_members(self) -> None:
         """Takes in all members that the replayed state names."""
         now_ms = self._clock.monotonic_ms()
-        for member in self._hub.state.members.values():
+        for member in self._replica.state.members.values():
             self._membership.add_member(member, now_ms)
             self._remember(member)
 
--- a/sesamecross/steward/mover.py
+++ b/sesamecross/steward/placement_controller.py
@@ -21,12 +21,12 @@
 from sesamecross.ops import timeline
 from sesamecross.ports import engine_http
 from sesamecross.runtime import logs
-from sesamecross.steward import demand as demand_lib
-from sesamecross.steward import hub as hub_lib
+from sesamecross.steward import demand_tracker as demand_tracker_lib
+from sesamecross.steward import engine_poller as engine_poller_lib
 from sesamecross.steward import lease_manager
+from sesamecross.steward import local_replica as local_replica_lib
 from sesamecross.steward import log_reader
 from sesamecross.steward import log_writer
-from sesamecross.steward import reporter as reporter_lib
 
 RESEND_MS = 3000
 WATCH_S = 0.1
@@ -35,18 +35,18 @@
 _LOADS_ADAPTER = data.OrderAction.LOAD_ADAPTER
 
 
-class Mover:
+class PlacementController:
     """Component that plans and moves while this steward holds the lease."""
 
     __slots__ = (
         "_me",
-        "_hub",
+        "_replica",
         "_lease",
         "_reader",
         "_writer",
-        "_reporter",
+        "_engine_poller",
         "_engines",
-        "_demand",
+        "_demand_tracker",
         "_clock",
         "_recorder",
         "_plan_s",
@@ -56,31 +56,31 @@
         "_planning_since_ms",
         "_logger",
         "shortfalls",
-        "moves_made",
+        "applied_order_count",
     )
 
     def __init__(
         self,
         me: data.Member,
-        hub: hub_lib.Hub,
+        replica: local_replica_lib.LocalReplica,
         lease: lease_manager.LeaseManager,
         reader: log_reader.LogReader,
         writer: log_writer.LogWriter,
-        reporter: reporter_lib.Reporter,
+        engine_poller: engine_poller_lib.EnginePoller,
         engines: engine_http.HttpEngine,
-        demand: demand_lib.Demand,
+        demand_tracker: demand_tracker_lib.DemandTracker,
         clock: clock_lib.Clock,
         recorder: timeline.Recorder,
         plan_ms: int,
     ):
         self._me = me
-        self._hub = hub
+        self._replica = replica
         self._lease = lease
         self._reader = reader
         self._writer = writer
-        self._reporter = reporter
+        self._engine_poller = engine_poller
         self._engines = engines
-        self._demand = demand
+        self._demand_tracker = demand_tracker
         self._clock = clock
         self._recorder = recorder
         self._plan_s = plan_ms / 1000
@@ -90,7 +90,7 @@
         self._planning_since_ms: int | None = None
         self._logger = logs.get_logger("mover")
         self.shortfalls: tuple[placement.Shortfall, ...] = ()
-        self.moves_made = 0
+        self.applied_order_count = 0
 
     @property
     def name(self) -> str:
@@ -134,20 +134,20 @@
             self._planning_since_ms = now_ms
         if now_ms - self._planning_since_ms >= HEAR_MS:
             return True
-        engines = self._hub.state.config.declarations.engines()
+        engines = self._replica.state.config.declarations.engines()
         return all(
-            self._reporter.report_of(engine.name) is not None
+            self._engine_poller.report_of(engine.name) is not None
             for engine in engines
         )
 
     def inputs(self) -> placement.Inputs:
         """Returns what a plan is made from now."""
-        state = self._hub.state
+        state = self._replica.state
         declarations = state.config.declarations
         sizes = ledger.sizes_of(declarations)
         accounts = {}
         for engine in declarations.engines():
-            report = self._reporter.report_of(engine.name)
+            report = self._engine_poller.report_of(engine.name)
             usable = report is not None and report.reachable
             if not usable or report.leaving or engine.name in state.draining:
                 continue
@@ -158,7 +158,7 @@
                 sizes,
             )
         return placement.Inputs(
-            declarations, self._me.zone, accounts, self._demand.rates()
+            declarations, self._me.zone, accounts, self._demand_tracker.rates()
         )
 
     def _note_shortfalls(
@@ -189,7 +189,7 @@
         task.add_done_callback(lambda _: self._busy.pop(key, None))
 
     def _within_budget(self, move: placement.Move) -> bool:
-        store = self._hub.state.config.declarations.store
+        store = self._replica.state.config.declarations.store
         under_way = self._unresolved_of(move.action)
         starting = sum(
             1 for key in self._busy if not self._is_unresolved(key[1])
@@ -203,7 +203,9 @@
         now_ms = self._clock.monotonic_ms()
         if now_ms < self._next_load_ms:
             return False
-        zones = {e.zone for e in self._hub.state.config.declarations.engines()}
+        zones = {
+            e.zone for e in self._replica.state.config.declarations.engines()
+        }
         # Each zone's holder takes its share of the store's rate, so that
         # they need not talk about it.
         interval_ms = 1000 * max(1, len(zones)) / store.loads_per_second
@@ -211,15 +213,17 @@
         return True
 
     def _unresolved_of(self, action: data.OrderAction) -> int:
-        unresolved = self._hub.state.intents.unresolved.values()
+        unresolved = self._replica.state.intents.unresolved.values()
         return sum(1 for i in unresolved if i.order.action is action)
 
     def _is_unresolved(self, target: str) -> bool:
-        unresolved = self._hub.state.intents.unresolved.values()
+        unresolved = self._replica.state.intents.unresolved.values()
         return any(i.order.target == target for i in unresolved)
 
     async def _carry_out(self, move: placement.Move, lease: int) -> None:
-        upstream = self._hub.state.config.declarations.upstreams[move.upstream]
+        upstream = self._replica.state.config.declarations.upstreams[
+            move.upstream
+        ]
         lock = self._locks.setdefault(move.upstream, asyncio.Lock())
         async with lock:
             intent = await self._write_intent(move, upstream, lease)
@@ -232,15 +236,15 @@
         self, move: placement.Move, upstream: data.Upstream, lease: int
     ) -> intents.Intent | None:
         """Writes the order down; returns it once it may be sent."""
-        status = await self._reporter.poll(upstream)
+        status = await self._engine_poller.poll(upstream)
         if status is None or status.report.leaving:
             return None
         self._resolve_by(status, upstream)
         account = ledger.account(
             upstream.memory_mib,
             status.report,
-            intents.of_upstream(self._hub.state.intents, upstream.name),
-            ledger.sizes_of(self._hub.state.config.declarations),
+            intents.of_upstream(self._replica.state.intents, upstream.name),
+            ledger.sizes_of(self._replica.state.config.declarations),
         )
         if not _still_holds(move, account):
             return None
@@ -254,11 +258,11 @@
             move.memory_mib,
         )
         record = records.IntentWritten(self._me.zone, lease, order)
-        future = self._hub.expect(record)
+        future = self._replica.result_future(record)
         try:
             self._writer.submit(record)
-        except log_writer.QueueFull:
-            self._hub.forget(record, future)
+        except log_writer.QueueFullError:
+            self._replica.cancel_wait(record, future)
             return None
         intent = await future
         if intent is None:
@@ -302,7 +306,7 @@
         sent_ms = self._clock.monotonic_ms()
         while self._is_open(intent):
             await asyncio.sleep(WATCH_S)
-            status = await self._reporter.poll(upstream)
+            status = await self._engine_poller.poll(upstream)
             if status is None:
                 continue
             self._resolve_by(status, upstream)
@@ -318,11 +322,11 @@
             await self._send(intent, upstream)
 
     def _is_open(self, intent: intents.Intent) -> bool:
-        return intent.order.order_id in self._hub.state.intents.unresolved
+        return intent.order.order_id in self._replica.state.intents.unresolved
 
     def _watch_inherited(self) -> None:
         """Settles intents that an earlier holder left behind."""
-        state = self._hub.state
+        state = self._replica.state
         for intent in list(state.intents.unresolved.values()):
             if intent.zone != self._me.zone:
                 continue
@@ -340,7 +344,7 @@
         """Writes down each outcome that the status proves."""
         if self._lease.held() is None:
             return
-        state = self._hub.state
+        state = self._replica.state
         for intent in intents.of_upstream(state.intents, upstream.name):
             outcome = order_outcomes.outcome_of(
                 intent, status, upstream.checks_fencing
@@ -350,10 +354,10 @@
             record = records.IntentResolved(intent.order.order_id, outcome)
             try:
                 self._writer.submit(record)
-            except log_writer.QueueFull:
+            except log_writer.QueueFullError:
                 return
             if outcome is records.IntentOutcome.APPLIED:
-                self.moves_made += 1
+                self.applied_order_count += 1
             self._recorder.add(
                 timeline.EventKind.INTENT,
                 f"{intent.order.action.value} is {outcome.value}",
--- a/sesamecross/steward/server.py
+++ b/sesamecross/steward/server.py
@@ -13,8 +13,8 @@
 from sesamecross.core import messages
 from sesamecross.ops import timeline
 from sesamecross.runtime import logs
-from sesamecross.steward import claims_desk
-from sesamecross.steward import links as links_lib
+from sesamecross.steward import claim_router as claim_router_lib
+from sesamecross.steward import peer_links as peer_links_lib
 from sesamecross.transport import streams
 
 EVENTS_WAIT_S = 2.0
@@ -63,16 +63,16 @@
         listen: str,
         shared_key: str,
         recorder: timeline.Recorder,
-        desk: claims_desk.ClaimsDesk,
-        links: links_lib.Links,
+        claim_router: claim_router_lib.ClaimRouter,
+        peer_links: peer_links_lib.PeerLinks,
         on_demand: Callable[[messages.DemandReport], None],
         status: Callable[[str], messages.StatusReply],
     ):
         self._listen = listen
         self._shared_key = shared_key
         self._recorder = recorder
-        self._desk = desk
-        self._links = links
+        self._claim_router = claim_router
+        self._peer_links = peer_links
         self._on_demand = on_demand
         self._status = status
         self._logger = logs.get_logger("streams")
@@ -136,7 +136,7 @@
             case "entry":
                 await self._serve_entry(stream)
             case "steward":
-                await self._links.serve(stream, stream.hello.name)
+                await self._peer_links.serve(stream, stream.hello.name)
             case "operator":
                 await self._serve_operator(stream)
 
@@ -153,7 +153,7 @@
         finally:
             if self.entry is session:
                 self.entry = None
-            self._desk.abandoned(session.claims)
+            self._claim_router.settle_abandoned(session.claims)
             self._logger.info("entry is gone", entry=stream.hello.name)
 
     def _spawn(self, work: Awaitable[None]) -> None:
@@ -168,18 +168,18 @@
             match message:
                 case messages.ClaimRequest(request_id=request_id):
                     session.claims.add(message.claim.claim_id)
-                    verdict = await self._desk.claim(message.claim)
+                    verdict = await self._claim_router.claim(message.claim)
                     await session.stream.send(
                         messages.ClaimReply(request_id, verdict)
                     )
                 case messages.ClaimLookup(request_id=request_id):
-                    verdict = await self._desk.look_up(message.claim)
+                    verdict = await self._claim_router.look_up(message.claim)
                     await session.stream.send(
                         messages.ClaimReply(request_id, verdict)
                     )
                 case messages.ClaimOutcome(request_id=request_id):
                     session.claims.discard(message.settled.claim_id)
-                    ok = await self._desk.settle(message.settled)
+                    ok = await self._claim_router.settle(message.settled)
                     await session.stream.send(messages.Done(request_id, ok))
                 case messages.ViewTaken(version=version):
                     session.version = version
--- a/sesamecross/steward/snapshotter.py
+++ b/sesamecross/steward/snapshotter.py
@@ -13,7 +13,7 @@
 from sesamecross.ops import membership as membership_lib
 from sesamecross.ops import replay
 from sesamecross.runtime import logs
-from sesamecross.steward import hub as hub_lib
+from sesamecross.steward import local_replica as local_replica_lib
 from sesamecross.steward import log_reader
 from sesamecross.steward import log_writer
 from sesamecross.utils import rendezvous
@@ -26,7 +26,7 @@
 
     __slots__ = (
         "_me",
-        "_hub",
+        "_replica",
         "_reader",
         "_writer",
         "_membership",
@@ -38,14 +38,14 @@
     def __init__(
         self,
         me: data.Member,
-        hub: hub_lib.Hub,
+        replica: local_replica_lib.LocalReplica,
         reader: log_reader.LogReader,
         writer: log_writer.LogWriter,
         membership: membership_lib.Membership,
         every: int,
     ):
         self._me = me
-        self._hub = hub
+        self._replica = replica
         self._reader = reader
         self._writer = writer
         self._membership = membership
@@ -69,13 +69,15 @@
         """Nothing is open between looks."""
 
     def _is_due(self) -> bool:
-        replica = self._hub.replica
+        log_replica = self._replica.log_replica
         if not (self._reader.caught_up and self._writer.reachable):
             return False
-        if replica.last_snapshot_offset < self._waits_for:
+        if log_replica.last_snapshot_offset < self._waits_for:
             # The own one is on its way.
             return False
-        behind = replica.state.next_offset - 1 - replica.last_snapshot_offset
+        behind = (
+            log_replica.state.next_offset - 1 - log_replica.last_snapshot_offset
+        )
         if behind < self._every:
             return False
         # Who is asked changes with the distance, so that a steward that does
@@ -86,10 +88,10 @@
         return first == [self._me.incarnation.instance]
 
     def _append(self) -> None:
-        snapshot: records.StateSnapshot = replay.snapshot(self._hub.state)
+        snapshot: records.StateSnapshot = replay.snapshot(self._replica.state)
         try:
             self._writer.submit_alone(snapshot)
-        except log_writer.QueueFull:
+        except log_writer.QueueFullError:
             return
         self._waits_for = snapshot.upto
         self._logger.info(
--- a/sesamecross/steward/views.py
+++ b/sesamecross/steward/view_sender.py
@@ -11,21 +11,21 @@
 from sesamecross.core import data
 from sesamecross.core import messages
 from sesamecross.ops import membership as membership_lib
-from sesamecross.steward import hub as hub_lib
+from sesamecross.steward import engine_poller as engine_poller_lib
+from sesamecross.steward import local_replica as local_replica_lib
 from sesamecross.steward import log_reader
-from sesamecross.steward import reporter as reporter_lib
 from sesamecross.steward import server as server_lib
 from sesamecross.transport import streams
 
 PERIOD_S = 0.1
 
 
-class Views:
+class ViewSender:
     """Component that keeps the entry's view current."""
 
     __slots__ = (
-        "_hub",
-        "_reporter",
+        "_replica",
+        "_engine_poller",
         "_reader",
         "_server",
         "_membership",
@@ -38,15 +38,15 @@
 
     def __init__(
         self,
-        hub: hub_lib.Hub,
-        reporter: reporter_lib.Reporter,
+        replica: local_replica_lib.LocalReplica,
+        engine_poller: engine_poller_lib.EnginePoller,
         reader: log_reader.LogReader,
         server: server_lib.Server,
         membership: membership_lib.Membership,
     ):
         self._membership = membership
-        self._hub = hub
-        self._reporter = reporter
+        self._replica = replica
+        self._engine_poller = engine_poller
         self._reader = reader
         self._server = server
         self._number = 0
@@ -77,11 +77,11 @@
         self._sent = None
 
     async def _send_if_changed(self, session: server_lib.EntrySession) -> None:
-        config = self._hub.state.config.state
+        config = self._replica.state.config.state
         signs = (
-            self._reporter.change_count,
+            self._engine_poller.change_count,
             config.version,
-            tuple(sorted(self._hub.state.draining)),
+            tuple(sorted(self._replica.state.draining)),
             self._reader.reachable,
             len(self._membership.believed_alive()),
         )
@@ -94,7 +94,7 @@
             0,
             config.version,
             tree,
-            tuple(self._reporter.reports()),
+            tuple(self._engine_poller.reports()),
             *signs[2:],
         )
         if view == self._sent:
