--- a/sesamecross/entry/app.py
+++ b/sesamecross/entry/app.py
@@ -7,11 +7,11 @@
 from sesamecross.core import clock as clock_lib
 from sesamecross.core import data
 from sesamecross.entry import http_app
-from sesamecross.entry import model_desk
-from sesamecross.entry import pump as pump_lib
+from sesamecross.entry import model_dispatcher
 from sesamecross.entry import service_call
 from sesamecross.entry import state as state_lib
 from sesamecross.entry import steward_link
+from sesamecross.entry import stream_relay as stream_relay_lib
 from sesamecross.ops import routing
 from sesamecross.ops import timeline
 from sesamecross.parser import settings as settings_lib
@@ -22,8 +22,8 @@
 from sesamecross.runtime import metrics as metrics_lib
 from sesamecross.runtime import supervisor
 
-DRAIN_STEP_S = 0.05
-DRAIN_SAY_S = 2.0
+DRAIN_POLL_S = 0.05
+DRAIN_LOG_INTERVAL_S = 2.0
 
 
 class EntryApp:
@@ -40,15 +40,15 @@
         rng = random.Random(os.urandom(8))
         place = routing.EntryLocation(settings.zone, settings.region, {})
         self._state = state_lib.EntryState(self.recorder)
-        self._desk = model_desk.ModelDesk(
+        self._dispatcher = model_dispatcher.ModelDispatcher(
             place, routing.policy_of(settings.policy), clock, rng
         )
         self._link = steward_link.StewardLink(
             settings, self.recorder, self._on_view, self._state.take_demand
         )
-        self._pump = pump_lib.Pump()
+        self._stream_relay = stream_relay_lib.StreamRelay()
         self._engines = engine_http.HttpEngine()
-        services = service_call.ServiceDesk(
+        services = service_call.ServiceDispatcher(
             settings.zone,
             self._state,
             self._link,
@@ -60,8 +60,8 @@
         app = http_app.HttpApp(
             settings,
             self._state,
-            self._desk,
-            self._pump,
+            self._dispatcher,
+            self._stream_relay,
             services,
             self._engines,
             clock,
@@ -87,8 +87,8 @@
 
     def components(self) -> list[supervisor.Component]:
         """Returns the parts in the order of their start."""
-        self._desk.start()
-        self._pump.start()
+        self._dispatcher.start()
+        self._stream_relay.start()
         return [self._link, self._http]
 
     async def drain(self) -> None:
@@ -103,32 +103,34 @@
         self._http.disable_keep_alive()
         self.recorder.add(timeline.EventKind.DRAIN, "readiness fails")
         await asyncio.sleep(self._settings.balancer_lag_ms / 1000)
-        self._state.refuse_calls()
+        self._state.stop_admission()
         left_s = self._settings.drain_ms / 1000
-        said_s = DRAIN_SAY_S
-        while self._state.active and left_s > 0:
-            await asyncio.sleep(DRAIN_STEP_S)
-            left_s -= DRAIN_STEP_S
-            said_s -= DRAIN_STEP_S
+        said_s = DRAIN_LOG_INTERVAL_S
+        while self._state.active_calls and left_s > 0:
+            await asyncio.sleep(DRAIN_POLL_S)
+            left_s -= DRAIN_POLL_S
+            said_s -= DRAIN_POLL_S
             if said_s <= 0:
-                said_s = DRAIN_SAY_S
-                self._logger.info("draining", open_calls=self._state.active)
-        if self._state.active:
+                said_s = DRAIN_LOG_INTERVAL_S
+                self._logger.info(
+                    "draining", open_calls=self._state.active_calls
+                )
+        if self._state.active_calls:
             self._logger.error(
                 "calls are cut off, the drain took too long",
-                open_calls=self._state.active,
+                open_calls=self._state.active_calls,
             )
-        self._desk.shut_down()
+        self._dispatcher.shut_down()
 
     def _on_view(self, view: data.View) -> int:
         """Takes in a view; returns the version in force after it."""
-        changed = self._state.take_view(view)
-        known = self._state.known
-        if known is None:
+        changed = self._state.apply_view(view)
+        snapshot = self._state.snapshot
+        if snapshot is None:
             return -1
-        draining = known.draining
+        draining = snapshot.draining
         if changed:
             entries = max(1, view.entries)
-            self._desk.configure(known.declarations, draining, entries)
-        self._desk.reports(view.reports, draining)
-        return known.version
+            self._dispatcher.configure(snapshot.declarations, draining, entries)
+        self._dispatcher.reports(view.reports, draining)
+        return snapshot.version
--- a/sesamecross/entry/app_test.py
+++ b/sesamecross/entry/app_test.py
@@ -43,7 +43,7 @@
     looks were not one step; now the counting itself refuses.
     """
     entry = app_lib.EntryApp.from_settings(SETTINGS)
-    entry._state._known = state_lib.Known(
+    entry._state._snapshot = state_lib.Snapshot(
         1,
         declarations.parse({}).declarations,
         Callers(entry),
--- a/sesamecross/entry/http_app.py
+++ b/sesamecross/entry/http_app.py
@@ -13,14 +13,14 @@
 from sesamecross.core import clock as clock_lib
 from sesamecross.core import data
 from sesamecross.core import refusal
-from sesamecross.entry import answers
 from sesamecross.entry import model_call
-from sesamecross.entry import model_desk
+from sesamecross.entry import model_dispatcher
 from sesamecross.entry import model_request
-from sesamecross.entry import pump as pump_lib
+from sesamecross.entry import openai_response
 from sesamecross.entry import service_call
 from sesamecross.entry import sinks
 from sesamecross.entry import state as state_lib
+from sesamecross.entry import stream_relay as stream_relay_lib
 from sesamecross.ops import answer_validator
 from sesamecross.ops import routing
 from sesamecross.ops import timeline
@@ -47,7 +47,7 @@
 _SERVICE_PATH = re.compile(r"^/services/([^/]+)(/.*)?$")
 _HEADERS_PASSED = ("CONTENT_TYPE", "HTTP_ACCEPT", "HTTP_IDEMPOTENCY_KEY")
 _MOST_PRIORITY = 9
-CORRELATION = "X-Correlation-Id"
+CORRELATION_HEADER = "X-Correlation-Id"
 
 
 def _status_line(status: int) -> str:
@@ -81,9 +81,9 @@
         self,
         settings: settings_lib.EntrySettings,
         state: state_lib.EntryState,
-        desk: model_desk.ModelDesk,
-        pump: pump_lib.Pump,
-        services: service_call.ServiceDesk,
+        dispatcher: model_dispatcher.ModelDispatcher,
+        stream_relay: stream_relay_lib.StreamRelay,
+        services: service_call.ServiceDispatcher,
         engines: engine_http.HttpEngine,
         clock: clock_lib.Clock,
         recorder: timeline.Recorder,
@@ -91,8 +91,8 @@
     ):
         self._settings = settings
         self._state = state
-        self._desk = desk
-        self._pump = pump
+        self._dispatcher = dispatcher
+        self._stream_relay = stream_relay
         self._services = services
         self._engines = engines
         self._clock = clock
@@ -105,20 +105,20 @@
         request = _Request(environ)
         if request.path in ("/healthz", "/readyz", "/metrics"):
             return self._platform(request, start_response)
-        known = self._state.known
-        if known is None:
+        snapshot = self._state.snapshot
+        if snapshot is None:
             # Nothing is known yet, so nothing can be promised or checked.
             answer = self._unclaimed(request, refusal.no_upstream("any call"))
             return self._refuse(request, answer, start_response)
-        caller = self._caller(request, known)
+        caller = self._caller(request, snapshot)
         if caller is None:
             answer = refusal.unauthorized()
             return self._refuse(request, answer, start_response)
-        refused = self._state.begin(caller)
+        refused = self._state.admit_call(caller)
         if refused is not None:
             answer = self._unclaimed(request, refused)
             return self._refuse(request, answer, start_response)
-        return self._counted(request, caller, known, start_response)
+        return self._counted(request, caller, snapshot, start_response)
 
     def _unclaimed(
         self, request: _Request, answer: refusal.Refusal
@@ -137,12 +137,12 @@
         self,
         request: _Request,
         caller: data.Caller,
-        known: state_lib.Known,
+        snapshot: state_lib.Snapshot,
         start_response: Any,
     ) -> Iterator[bytes]:
         """Answers a call that is counted as open until its last byte."""
         try:
-            yield from self._route(request, caller, known, start_response)
+            yield from self._route(request, caller, snapshot, start_response)
         except http_server.SlowBody as error:
             answer = refusal.Refusal(
                 408,
@@ -152,23 +152,25 @@
             )
             yield from self._refuse(request, answer, start_response)
         finally:
-            self._state.end(caller)
+            self._state.release_call(caller)
 
     def _route(
         self,
         request: _Request,
         caller: data.Caller,
-        known: state_lib.Known,
+        snapshot: state_lib.Snapshot,
         start_response: Any,
     ) -> Iterable[bytes]:
         if request.path == "/v1/models" and request.method == "GET":
-            return self._models(request, caller, known, start_response)
+            return self._models(request, caller, snapshot, start_response)
         paths = (model_request.CHAT_PATH, model_request.COMPLETIONS_PATH)
         if request.path in paths and request.method == "POST":
-            return self._model(request, caller, known, start_response)
+            return self._model(request, caller, snapshot, start_response)
         match = _SERVICE_PATH.match(request.path)
         if match:
-            return self._service(request, caller, known, match, start_response)
+            return self._service(
+                request, caller, snapshot, match, start_response
+            )
         answer = refusal.Refusal(
             404, "no-such-path", "There is no such path", "See /v1/models"
         )
@@ -184,7 +186,7 @@
                 "sesamecross_open_calls",
                 "Calls open at this entry.",
                 {},
-                self._state.active,
+                self._state.active_calls,
             )
             body, content_type = self._metrics.render()
             return http_server.send_response(
@@ -192,23 +194,23 @@
             )
         if request.path == "/healthz":
             return http_server.send_json(start_response, {"ok": True})
-        known = self._state.known
-        ready = known is not None and not self._state.stopping
+        snapshot = self._state.snapshot
+        ready = snapshot is not None and not self._state.stopping
         return http_server.send_json(
             start_response,
-            {"ready": ready, "version": known.version if known else 0},
+            {"ready": ready, "version": snapshot.version if snapshot else 0},
             _status_line(200 if ready else 503),
         )
 
     # -- callers -------------------------------------------------------------
 
     def _caller(
-        self, request: _Request, known: state_lib.Known
+        self, request: _Request, snapshot: state_lib.Snapshot
     ) -> data.Caller | None:
         scheme, _, key = request.header("HTTP_AUTHORIZATION").partition(" ")
         if scheme.lower() != "bearer" or not key:
             return None
-        return known.callers.get(digest.of_bearer_key(key.strip()))
+        return snapshot.callers.get(digest.of_bearer_key(key.strip()))
 
     def _refuse(
         self,
@@ -225,7 +227,7 @@
         headers = [
             *answer.headers(),
             ("Content-Length", str(len(body))),
-            (CORRELATION, request.call_id),
+            (CORRELATION_HEADER, request.call_id),
         ]
         start_response(_status_line(answer.status), headers)
         return [body]
@@ -241,7 +243,7 @@
         headers = [
             ("Content-Type", content_type),
             ("Content-Length", str(len(body))),
-            (CORRELATION, request.call_id),
+            (CORRELATION_HEADER, request.call_id),
         ]
         start_response(_status_line(status), headers)
         return [body]
@@ -258,40 +260,42 @@
         self,
         request: _Request,
         caller: data.Caller,
-        known: state_lib.Known,
+        snapshot: state_lib.Snapshot,
         start_response: Any,
     ) -> list[bytes]:
-        declared = known.declarations
-        names = [n for n in declared.models if model_request.may_use(caller, n)]
+        declared = snapshot.declarations
+        names = [
+            n for n in declared.models if model_request.is_allowed(caller, n)
+        ]
         names += [
             adapter.name
             for adapter in declared.adapters.values()
-            if model_request.may_use(caller, adapter.name)
-            or model_request.may_use(caller, adapter.model)
+            if model_request.is_allowed(caller, adapter.name)
+            or model_request.is_allowed(caller, adapter.model)
         ]
         return http_server.send_json(
-            start_response, answers.model_list(sorted(names))
+            start_response, openai_response.model_list(sorted(names))
         )
 
     def _model(
         self,
         request: _Request,
         caller: data.Caller,
-        known: state_lib.Known,
+        snapshot: state_lib.Snapshot,
         start_response: Any,
     ) -> Iterable[bytes]:
         body = http_server.read_body(request.environ)
-        parsed = model_request.parse(request.path, body, caller, known)
+        parsed = model_request.parse(request.path, body, caller, snapshot)
         if isinstance(parsed, Failure):
             return self._refuse(request, parsed.failure(), start_response)
         wanted = parsed.unwrap()
-        self._state.asked_for(wanted.target)
-        call = self._routing_call(request, caller, wanted, known)
+        self._state.count_demand(wanted.target)
+        call = self._routing_call(request, caller, wanted, snapshot)
         relayed = model_call.ModelCall(
             call,
             wanted,
-            self._desk,
-            self._pump,
+            self._dispatcher,
+            self._stream_relay,
             self._engines,
             self._recorder,
             self._settings.caller_idle_ms / 1000,
@@ -303,9 +307,9 @@
         request: _Request,
         caller: data.Caller,
         wanted: model_request.ModelRequest,
-        known: state_lib.Known,
+        snapshot: state_lib.Snapshot,
     ) -> routing.Call:
-        promise = known.declarations.promises[wanted.model.promise]
+        promise = snapshot.declarations.promises[wanted.model.promise]
         asked = request.number("HTTP_X_PRIORITY")
         priority = promise.priority
         if asked is not None:
@@ -317,7 +321,7 @@
             wanted.target,
             promise,
             wanted.prompt_tokens(),
-            wanted.blocks(),
+            wanted.prompt_block_hashes(),
             self._clock.monotonic_ms(),
             self._deadline_ms(request),
             priority,
@@ -342,15 +346,15 @@
                 document = sinks.DocumentSink()
                 document.accept(first)
                 relayed.rest(document)
-                body = answers.whole_body(
+                body = openai_response.encode_document(
                     request.call_id, wanted, document.chunks
                 )
                 yield from self._whole(
                     request, 200, "application/json", body, start_response
                 )
-        except model_call.Refused as refused:
+        except model_call.CallRefusedError as refused:
             yield from self._refuse(request, refused.answer, start_response)
-        except model_call.EngineError as error:
+        except model_call.EngineRejectedError as error:
             rejected = error.rejected
             yield from self._whole(
                 request,
@@ -372,24 +376,24 @@
         start_response: Any,
     ) -> Iterator[bytes]:
         headers = [
-            ("Content-Type", answers.SSE_TYPE),
+            ("Content-Type", openai_response.SSE_TYPE),
             ("Cache-Control", "no-store"),
-            (CORRELATION, request.call_id),
+            (CORRELATION_HEADER, request.call_id),
         ]
         start_response("200 OK", headers)
         connection = request.environ[http_server.CONNECTION]
-        yield answers.event_bytes(first, wanted.wants_usage)
+        yield openai_response.encode_events(first, wanted.wants_usage)
         # How the answer is framed is known only now that its head is sent.
         sink = sinks.CallerSink(
             connection.socket, connection.is_chunked, wanted.wants_usage
         )
         try:
             relayed.rest(sink)
-            yield answers.DONE_EVENT
+            yield openai_response.DONE_EVENT
         except model_call.CallerLeft:
             # Nothing more can be sent on this connection.
             connection.abort()
-        except model_call.Refused as refused:
+        except model_call.CallRefusedError as refused:
             # The head is gone, so the refusal comes as an event, without
             # the closing mark: no client takes the answer for whole.
             body = refused.answer.body(request.call_id)
@@ -435,12 +439,12 @@
         self,
         request: _Request,
         caller: data.Caller,
-        known: state_lib.Known,
+        snapshot: state_lib.Snapshot,
         match: re.Match,
         start_response: Any,
     ) -> list[bytes]:
         name = match.group(1)
-        service = known.declarations.services.get(name)
+        service = snapshot.declarations.services.get(name)
         allowed = data.WILDCARD in caller.services or name in caller.services
         if service is None or not allowed:
             answer = refusal.forbidden(f"Service {name}")
--- a/sesamecross/entry/model_call.py
+++ b/sesamecross/entry/model_call.py
@@ -8,10 +8,10 @@
 import time
 
 from sesamecross.core import refusal
-from sesamecross.entry import model_desk
+from sesamecross.entry import model_dispatcher
 from sesamecross.entry import model_request
-from sesamecross.entry import pump as pump_lib
 from sesamecross.entry import sinks
+from sesamecross.entry import stream_relay as stream_relay_lib
 from sesamecross.ops import answer_validator
 from sesamecross.ops import dispatch
 from sesamecross.ops import estimates
@@ -23,10 +23,10 @@
 
 # An engine that is silent for this long in the middle of an answer is given
 # up, and the call goes on elsewhere.
-STALL_S = 10.0
+ENGINE_IDLE_TIMEOUT_S = 10.0
 
 
-class Refused(Exception):
+class CallRefusedError(Exception):
     """The call gets a refusal as its final answer."""
 
     def __init__(self, answer: refusal.Refusal):
@@ -34,7 +34,7 @@
         self.answer = answer
 
 
-class EngineError(Exception):
+class EngineRejectedError(Exception):
     """The engine's own error is the call's final answer."""
 
     def __init__(self, rejected: engine_stream.Rejected):
@@ -57,20 +57,20 @@
         self,
         call: routing.Call,
         request: model_request.ModelRequest,
-        desk: model_desk.ModelDesk,
-        pump: pump_lib.Pump,
+        dispatcher: model_dispatcher.ModelDispatcher,
+        stream_relay: stream_relay_lib.StreamRelay,
         engines: engine_http.HttpEngine,
         recorder: timeline.Recorder,
-        caller_idle_s: float,
+        caller_idle_timeout_s: float,
     ):
         self._call = call
         self._request = request
-        self._desk = desk
-        self._pump = pump
+        self._dispatcher = dispatcher
+        self._stream_relay = stream_relay
         self._engines = engines
         self._recorder = recorder
-        self._caller_idle_s = caller_idle_s
-        self._check = answer_validator.AnswerValidator(call.call_id)
+        self._caller_idle_timeout_s = caller_idle_timeout_s
+        self._validator = answer_validator.AnswerValidator(call.call_id)
         self._began_s = time.monotonic()
         self._dispatch: dispatch.Dispatch | None = None
         self._stream: engine_stream.EngineStream | None = None
@@ -82,7 +82,7 @@
     @property
     def tokens(self) -> int:
         """Tokens passed on so far."""
-        return self._check.tokens
+        return self._validator.tokens
 
     @property
     def first_s(self) -> float | None:
@@ -96,12 +96,12 @@
           Refused: No answer can be had.
           EngineError: The engine refuses the call as such.
         """
-        self._desk.submit(self._call)
+        self._dispatcher.submit(self._call)
         while True:
             self._stream = self._next_stream()
             chunks = self._first_of(self._stream)
             if chunks:
-                self._desk.first_token(self._call.call_id)
+                self._dispatcher.first_token(self._call.call_id)
                 return chunks
 
     def rest(self, sink: sinks.Sink) -> None:
@@ -114,26 +114,26 @@
         while True:
             if self._stream is None:
                 self._stream = self._next_stream()
-            transfer = pump_lib.Transfer(
+            transfer = stream_relay_lib.Transfer(
                 self._stream,
-                self._check,
+                self._validator,
                 sink,
-                STALL_S,
-                self._caller_idle_s,
+                ENGINE_IDLE_TIMEOUT_S,
+                self._caller_idle_timeout_s,
                 self._call.deadline_ms / 1000,
             )
-            ending = self._pump.move(transfer)
+            result = self._stream_relay.run_transfer(transfer)
             self._first_s = self._first_s or transfer.first_s
             self._last_s = max(self._last_s, transfer.last_token_s)
             self._stream.close()
             self._stream = None
-            match ending:
-                case pump_lib.Finished():
+            match result:
+                case stream_relay_lib.Completed():
                     self._finish()
                     return
-                case pump_lib.CallerLeft(reason=reason):
+                case stream_relay_lib.CallerLeft(reason=reason):
                     raise CallerLeft(reason)
-                case pump_lib.Interrupted(reason=reason):
+                case stream_relay_lib.Interrupted(reason=reason):
                     self._failed(dispatch.MayHaveRun(), reason)
 
     def close(self) -> None:
@@ -147,7 +147,7 @@
         if self._dispatch is not None:
             upstream = self._dispatch.upstream
             self._engines.cancel(self._dispatch.url, self._call.call_id)
-        self._desk.abandoned(self._call.call_id)
+        self._dispatcher.abandoned(self._call.call_id)
         self._note(
             timeline.EventKind.CALL,
             f"caller left after {self.tokens} tokens, engine is told",
@@ -159,7 +159,7 @@
     def _next_stream(self) -> engine_stream.EngineStream:
         """Waits for a dispatch and opens it, through failures."""
         while True:
-            action = self._desk.next_action(self._call.call_id)
+            action = self._dispatcher.next_action(self._call.call_id)
             if isinstance(action, dispatch.Refuse):
                 self._refused(action.refusal)
             self._dispatch = action
@@ -173,13 +173,13 @@
 
     def _refused(self, answer: refusal.Refusal) -> None:
         self._ended = True
-        self._desk.forget(self._call.call_id)
+        self._dispatcher.discard_mailbox(self._call.call_id)
         self._note(
             timeline.EventKind.REFUSAL,
             f"{answer.slug}, executed {answer.executed.value}",
             "",
         )
-        raise Refused(answer)
+        raise CallRefusedError(answer)
 
     def _open(
         self, action: dispatch.Dispatch
@@ -201,8 +201,8 @@
     ) -> engine_stream.CallRequest:
         generated = ""
         resume_after = self.tokens
-        if self._check.ignores_event_ids and self.tokens:
-            generated = self._check.text
+        if self._validator.ignores_event_ids and self.tokens:
+            generated = self._validator.text
             resume_after = 0
         left_s = self._call.deadline_ms / 1000 - time.monotonic()
         return engine_stream.CallRequest(
@@ -211,7 +211,7 @@
             self._request.engine_body(generated, self.tokens),
             self._call.call_id,
             self._call.priority,
-            max(0.05, min(STALL_S, left_s)),
+            max(0.05, min(ENGINE_IDLE_TIMEOUT_S, left_s)),
             resume_after,
         )
 
@@ -222,8 +222,12 @@
         try:
             while not stream.ended:
                 left_s = self._call.deadline_ms / 1000 - time.monotonic()
-                events = stream.read(max(0.05, min(STALL_S, left_s)))
-                taken = [self._check.process_event(event) for event in events]
+                events = stream.read(
+                    max(0.05, min(ENGINE_IDLE_TIMEOUT_S, left_s))
+                )
+                taken = [
+                    self._validator.process_event(event) for event in events
+                ]
                 chunks = [chunk for chunk in taken if chunk is not None]
                 if chunks:
                     if self.tokens:
@@ -248,13 +252,13 @@
         elif rejected.status == 400 and self.tokens:
             # This engine can't resume: the next attempt repeats the prompt
             # with the text that the caller has.
-            self._check.ignores_event_ids = True
+            self._validator.ignores_event_ids = True
             self._failed(dispatch.MayHaveRun(), "can't resume")
         elif rejected.status == 429 or rejected.status >= 500:
             self._failed(dispatch.MayHaveRun(), f"HTTP {rejected.status}")
         else:
             self._end_with(False, "ended by the engine's error")
-            raise EngineError(rejected)
+            raise EngineRejectedError(rejected)
 
     def _failed(self, failure: dispatch.FailureKind, reason: str) -> None:
         self._note(
@@ -262,7 +266,7 @@
             f"attempt {self.attempts} failed: {reason}",
             self._dispatch.upstream,
         )
-        self._desk.failed(self._call.call_id, failure)
+        self._dispatcher.failed(self._call.call_id, failure)
 
     # -- ends ------------------------------------------------------------
 
@@ -273,7 +277,7 @@
 
     def _end_with(self, complete: bool, what: str) -> None:
         self._ended = True
-        self._desk.finished(self._call.call_id, self._seen(), complete)
+        self._dispatcher.finished(self._call.call_id, self._seen(), complete)
         self._note(timeline.EventKind.CALL, what, self._dispatch.upstream)
 
     def _seen(self) -> estimates.Observation:
@@ -287,7 +291,12 @@
                 first_ms = (self._first_s - self._began_s) * 1000
         whole_ms = (time.monotonic() - self._began_s) * 1000
         return estimates.Observation(
-            0.0, 0.0, first_ms, between_ms, whole_ms, self._check.cached_tokens
+            0.0,
+            0.0,
+            first_ms,
+            between_ms,
+            whole_ms,
+            self._validator.cached_tokens,
         )
 
     def _note(self, kind: timeline.EventKind, what: str, upstream: str) -> None:
--- a/sesamecross/entry/model_desk.py
+++ b/sesamecross/entry/model_dispatcher.py
@@ -15,13 +15,13 @@
 from sesamecross.ops import estimates
 from sesamecross.ops import routing
 
-TICK_S = 0.05
+TICK_INTERVAL_S = 0.05
 
 
-class ModelDesk:
+class ModelDispatcher:
     """Owns the dispatcher, its lock and the mailboxes."""
 
-    __slots__ = ("_dispatcher", "_clock", "_lock", "_boxes", "_stopped")
+    __slots__ = ("_dispatcher", "_clock", "_lock", "_mailboxes", "_stopped")
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._dispatcher = dispatch.Dispatcher(place, policy, rng)
         self._clock = clock
         self._lock = threading.Lock()
-        self._boxes: dict[str, queue.SimpleQueue] = {}
+        self._mailboxes: dict[str, queue.SimpleQueue] = {}
         self._stopped = threading.Event()
 
     def start(self) -> None:
@@ -45,7 +45,7 @@
         self._stopped.set()
 
     def _tick(self) -> None:
-        while not self._stopped.wait(TICK_S):
+        while not self._stopped.wait(TICK_INTERVAL_S):
             with self._lock:
                 if len(self._dispatcher.queue):
                     now_ms = self._clock.monotonic_ms()
@@ -53,7 +53,7 @@
 
     def _deliver(self, actions: list[dispatch.Action]) -> None:
         for action in actions:
-            box = self._boxes.get(action.call_id)
+            box = self._mailboxes.get(action.call_id)
             if box is not None:
                 box.put(action)
 
@@ -86,19 +86,19 @@
     def submit(self, call: routing.Call) -> None:
         """Takes a new call; `next_action` tells what becomes of it."""
         with self._lock:
-            self._boxes[call.call_id] = queue.SimpleQueue()
+            self._mailboxes[call.call_id] = queue.SimpleQueue()
             self._deliver(self._dispatcher.submit(call, self._now()))
 
     def next_action(self, call_id: str) -> dispatch.Action:
         """Waits for the call's next action."""
-        return self._boxes[call_id].get()
+        return self._mailboxes[call_id].get()
 
     def finished(
         self, call_id: str, seen: estimates.Observation, complete: bool
     ) -> None:
         """The call ended."""
         with self._lock:
-            self._boxes.pop(call_id, None)
+            self._mailboxes.pop(call_id, None)
             self._deliver(
                 self._dispatcher.finished(call_id, seen, complete, self._now())
             )
@@ -118,13 +118,13 @@
     def abandoned(self, call_id: str) -> None:
         """Nobody waits for the call any more."""
         with self._lock:
-            self._boxes.pop(call_id, None)
+            self._mailboxes.pop(call_id, None)
             self._deliver(self._dispatcher.abandoned(call_id, self._now()))
 
-    def forget(self, call_id: str) -> None:
+    def discard_mailbox(self, call_id: str) -> None:
         """The call was refused; its mailbox is not needed any more."""
         with self._lock:
-            self._boxes.pop(call_id, None)
+            self._mailboxes.pop(call_id, None)
 
     def _now(self) -> int:
         return self._clock.monotonic_ms()
--- a/sesamecross/entry/model_request.py
+++ b/sesamecross/entry/model_request.py
@@ -45,7 +45,7 @@
         """Whether this is a chat and not a plain completion."""
         return self.path == CHAT_PATH
 
-    def blocks(self) -> tuple[int, ...]:
+    def prompt_block_hashes(self) -> tuple[int, ...]:
         """Returns the names of the prompt's leading blocks."""
         return prefixes.block_hashes(self.target, self.prompt)
 
@@ -89,7 +89,7 @@
 
 
 def parse(
-    path: str, body: bytes, caller: data.Caller, known: state_lib.Known
+    path: str, body: bytes, caller: data.Caller, snapshot: state_lib.Snapshot
 ) -> Result[ModelRequest, refusal.Refusal]:
     """Returns the checked request, or why it is refused."""
     try:
@@ -101,7 +101,7 @@
     target = fields.get("model")
     if not isinstance(target, str):
         return _bad("model is missing", "Name a model from /v1/models")
-    model = _model_of(target, caller, known.declarations)
+    model = _model_of(target, caller, snapshot.declarations)
     if model is None:
         return Failure(refusal.forbidden(f"Model {target}"))
     prompt = _prompt(path, fields)
@@ -131,7 +131,7 @@
     return Failure(refusal.bad_request(title, remedy))
 
 
-def may_use(caller: data.Caller, name: str) -> bool:
+def is_allowed(caller: data.Caller, name: str) -> bool:
     """Tells whether a caller may use a model or adapter."""
     return data.WILDCARD in caller.models or name in caller.models
 
@@ -144,7 +144,7 @@
     model = declarations.models.get(base)
     if model is None:
         return None
-    if may_use(caller, target) or (adapter and may_use(caller, base)):
+    if is_allowed(caller, target) or (adapter and is_allowed(caller, base)):
         return model
     return None
 
--- a/sesamecross/entry/answers.py
+++ b/sesamecross/entry/openai_response.py
@@ -12,7 +12,7 @@
 DONE_EVENT = b"data: [DONE]\n\n"
 
 
-def event_bytes(
+def encode_events(
     chunks: Iterable[answer_validator.Chunk], wants_usage: bool
 ) -> bytes:
     """Returns events as a streaming caller should get them."""
@@ -23,7 +23,7 @@
     )
 
 
-def whole_body(
+def encode_document(
     call_id: str,
     request: model_request.ModelRequest,
     chunks: Iterable[answer_validator.Chunk],
--- a/sesamecross/entry/service_call.py
+++ b/sesamecross/entry/service_call.py
@@ -29,8 +29,8 @@
 MAX_ATTEMPTS = 3
 # While the first arrival of a claimed call runs, a second one waits for its
 # answer up to this long before it is told to come back.
-FOLLOW_MS = 3000
-FOLLOW_STEP_S = 0.05
+IN_PROGRESS_WAIT_MS = 3000
+IN_PROGRESS_POLL_S = 0.05
 MAX_KEY_CHARS = 255
 
 
@@ -57,7 +57,7 @@
 Outcome = data.Answer | refusal.Refusal
 
 
-class ServiceDesk:
+class ServiceDispatcher:
     """Dispatches service calls. Safe for threads."""
 
     def __init__(
@@ -133,16 +133,16 @@
         Returns:
           The outcome, and the upstream's name where it failed there.
         """
-        known = self._state.known
+        snapshot = self._state.snapshot
         # The service may have been declared anew since the call came.
-        service = known.declarations.services.get(
+        service = snapshot.declarations.services.get(
             request.service.name, request.service
         )
         with self._lock:
             upstream = self._router.choose(
                 service,
-                known.declarations.upstreams,
-                known.draining,
+                snapshot.declarations.upstreams,
+                snapshot.draining,
                 excluded,
                 self._clock.monotonic_ms(),
             )
@@ -238,7 +238,7 @@
         self, claim: records.ClaimMade, outcome: Outcome, executed: bool
     ) -> None:
         answer = outcome if isinstance(outcome, data.Answer) else None
-        bound = self._state.known.declarations.claims.answer_bytes
+        bound = self._state.snapshot.declarations.claims.answer_bytes
         if answer is not None and len(answer.body) > bound:
             answer = None
         self._link.settle(
@@ -253,11 +253,11 @@
     ) -> Outcome:
         """Waits for the first arrival's answer, within bounds."""
         now_ms = self._clock.monotonic_ms()
-        until_ms = min(request.deadline_ms, now_ms + FOLLOW_MS)
+        until_ms = min(request.deadline_ms, now_ms + IN_PROGRESS_WAIT_MS)
         while verdict.state is data.ClaimState.IN_PROGRESS:
             if self._clock.monotonic_ms() >= until_ms:
                 return refusal.in_progress()
-            time.sleep(FOLLOW_STEP_S)
+            time.sleep(IN_PROGRESS_POLL_S)
             verdict = self._link.look_up(claim) or verdict
         return _answer_of(verdict)
 
--- a/sesamecross/entry/service_call_test.py
+++ b/sesamecross/entry/service_call_test.py
@@ -22,7 +22,7 @@
 ANSWER = data.Answer(200, "text/plain", b"done")
 
 
-def known(upstreams):
+def snapshot(upstreams):
     tree = {
         "regions": {"r": {}},
         "zones": {"z": {"region": "r"}},
@@ -36,7 +36,7 @@
         del tree["services"]
     parsed = declarations.parse(tree)
     assert parsed.declarations is not None, parsed
-    return state_lib.Known(1, parsed.declarations, {}, frozenset(), True)
+    return state_lib.Snapshot(1, parsed.declarations, {}, frozenset(), True)
 
 
 class Link:
@@ -48,7 +48,7 @@
         self.settled = []
 
     def claim(self, claim):
-        self._state._known = self._after
+        self._state._snapshot = self._after
         return data.ClaimVerdict(data.ClaimState.WON, claim.claim_id)
 
     def settle(self, settled):
@@ -81,10 +81,10 @@
     """
     recorder = timeline.Recorder("e", "z", clock.ManualClock(1000))
     state = state_lib.EntryState(recorder)
-    state._known = known(["a"])
-    link = Link(state, known(after))
+    state._snapshot = snapshot(["a"])
+    link = Link(state, snapshot(after))
     services = Services()
-    desk = service_call.ServiceDesk(
+    dispatcher = service_call.ServiceDispatcher(
         "z",
         state,
         link,
@@ -93,8 +93,8 @@
         recorder,
         random.Random(1),
     )
-    service = state.known.declarations.services["orders"]
-    outcome = desk.call(
+    service = state.snapshot.declarations.services["orders"]
+    outcome = dispatcher.call(
         service_call.ServiceRequest(
             "call", CALLER, service, "POST", "/", (), b"", "key", 10**9
         )
--- a/sesamecross/entry/sinks.py
+++ b/sesamecross/entry/sinks.py
@@ -2,15 +2,15 @@
 
 import socket
 
-from sesamecross.entry import answers
+from sesamecross.entry import openai_response
 from sesamecross.ops import answer_validator
 
 # A caller that is this far behind makes the relay stop reading its engine;
 # others are not touched.
-MOST_PENDING_BYTES = 64 * 1024
+MAX_PENDING_BYTES = 64 * 1024
 
 
-class CallerGone(Exception):
+class CallerDisconnectedError(Exception):
     """The caller closed its connection or does not read."""
 
 
@@ -40,7 +40,7 @@
     @property
     def is_full(self) -> bool:
         """Whether the caller is too far behind to take more."""
-        return len(self._pending) >= MOST_PENDING_BYTES
+        return len(self._pending) >= MAX_PENDING_BYTES
 
     def accept(self, chunks: list[answer_validator.Chunk]) -> None:
         """Takes events and sends what the caller will take.
@@ -48,7 +48,7 @@
         Raises:
           CallerGone: The caller is not there any more.
         """
-        data = answers.event_bytes(chunks, self._wants_usage)
+        data = openai_response.encode_events(chunks, self._wants_usage)
         if not data:
             return
         if self._chunked:
@@ -69,7 +69,7 @@
         except BlockingIOError:
             return False
         except OSError as error:
-            raise CallerGone(type(error).__name__) from error
+            raise CallerDisconnectedError(type(error).__name__) from error
         self._pending = self._pending[sent:]
         return sent > 0
 
@@ -81,11 +81,11 @@
         """
         try:
             if self._socket.recv(1, socket.MSG_PEEK) == b"":
-                raise CallerGone("hung up")
+                raise CallerDisconnectedError("hung up")
         except BlockingIOError:
             return
         except OSError as error:
-            raise CallerGone(type(error).__name__) from error
+            raise CallerDisconnectedError(type(error).__name__) from error
 
     def close(self) -> None:
         """Lets go of the duplicate; the connection itself stays open."""
--- a/sesamecross/entry/state.py
+++ b/sesamecross/entry/state.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Known:
+class Snapshot:
     """One consistent state of what the steward told."""
 
     version: int
@@ -29,7 +29,7 @@
     """The entry's current knowledge and its open calls."""
 
     __slots__ = (
-        "_known",
+        "_snapshot",
         "_lock",
         "_active",
         "_of_caller",
@@ -41,7 +41,7 @@
     )
 
     def __init__(self, recorder: timeline.Recorder):
-        self._known: Known | None = None
+        self._snapshot: Snapshot | None = None
         self._lock = threading.Lock()
         self._active = 0
         self._of_caller: dict[str, int] = {}
@@ -52,23 +52,23 @@
         self.stopping = False
 
     @property
-    def known(self) -> Known | None:
+    def snapshot(self) -> Snapshot | None:
         """What is known now; None before the first view."""
-        return self._known
+        return self._snapshot
 
     @property
-    def active(self) -> int:
+    def active_calls(self) -> int:
         """Calls that are open at this entry."""
         return self._active
 
-    def take_view(self, view: data.View) -> bool:
+    def apply_view(self, view: data.View) -> bool:
         """Takes in a view; tells whether declarations changed.
 
         A version lower than the one in force is never taken: a steward that
         starts anew may know less for a moment than this entry does.
         """
-        known = self._known
-        if known is not None and view.version < known.version:
+        snapshot = self._snapshot
+        if snapshot is not None and view.version < snapshot.version:
             return False
         changed = view.tree is not None
         if changed:
@@ -77,26 +77,26 @@
                 self._logger.error("view does not parse", version=view.version)
                 return False
             callers = {c.key_digest: c for c in parsed.callers.values()}
-        elif known is not None:
-            parsed = known.declarations
-            callers = known.callers
+        elif snapshot is not None:
+            parsed = snapshot.declarations
+            callers = snapshot.callers
         else:
             return False
-        self._known = Known(
+        self._snapshot = Snapshot(
             view.version,
             parsed,
             callers,
             frozenset(view.draining),
             view.log_reachable,
         )
-        if changed and (known is None or known.version != view.version):
+        if changed and (snapshot is None or snapshot.version != view.version):
             self._recorder.add(
                 timeline.EventKind.CONFIG,
                 f"version {view.version} is in force here",
             )
         return changed
 
-    def refuse_calls(self) -> None:
+    def stop_admission(self) -> None:
         """From now on no call is counted in.
 
         It is one step with the counting: whoever sees no open call after it
@@ -105,7 +105,7 @@
         with self._lock:
             self._refusing = True
 
-    def begin(self, caller: data.Caller) -> refusal.Refusal | None:
+    def admit_call(self, caller: data.Caller) -> refusal.Refusal | None:
         """Counts a call in, or returns why it is refused."""
         with self._lock:
             if self._refusing:
@@ -117,7 +117,7 @@
             self._active += 1
             return None
 
-    def end(self, caller: data.Caller) -> None:
+    def release_call(self, caller: data.Caller) -> None:
         """Counts a call out."""
         with self._lock:
             self._active -= 1
@@ -127,7 +127,7 @@
             else:
                 del self._of_caller[caller.name]
 
-    def asked_for(self, target: str) -> None:
+    def count_demand(self, target: str) -> None:
         """Counts a call towards the demand for a model or adapter."""
         with self._lock:
             self._demand[target] = self._demand.get(target, 0) + 1
--- a/sesamecross/entry/steward_link.py
+++ b/sesamecross/entry/steward_link.py
@@ -19,10 +19,10 @@
 from sesamecross.runtime import logs
 from sesamecross.transport import streams
 
-RECONNECT_S = 0.2
-DEMAND_S = 1.0
-REPLY_S = 6.0
-CONFIRM_STEP_S = 0.02
+RECONNECT_DELAY_S = 0.2
+DEMAND_INTERVAL_S = 1.0
+REPLY_TIMEOUT_S = 6.0
+CONFIRM_POLL_S = 0.02
 
 
 class StewardLink:
@@ -65,7 +65,7 @@
             except streams.StreamClosedError as error:
                 self._logger.debug("no stream", reason=str(error))
             self._drop()
-            await asyncio.sleep(RECONNECT_S)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def stop(self) -> None:
         """Closes the stream, once all outcomes are confirmed.
@@ -76,9 +76,9 @@
         # What other threads have settled is kept in the loop's next turn.
         await asyncio.sleep(0)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(REPLY_S):
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
                 while self._outcomes:
-                    await asyncio.sleep(CONFIRM_STEP_S)
+                    await asyncio.sleep(CONFIRM_POLL_S)
         if self._outcomes:
             self._logger.warning(
                 "outcomes of claims are not confirmed",
@@ -166,14 +166,14 @@
                 if await self._ask_on_loop(message):
                     self._outcomes.pop(settled.claim_id, None)
             if self._outcomes:
-                await asyncio.sleep(RECONNECT_S)
+                await asyncio.sleep(RECONNECT_DELAY_S)
                 self._outcome_waits.set()
 
     async def _send_demand(self, stream: streams.Stream) -> None:
         while True:
-            await asyncio.sleep(DEMAND_S)
+            await asyncio.sleep(DEMAND_INTERVAL_S)
             report = messages.DemandReport(
-                self._take_demand(), int(DEMAND_S * 1000)
+                self._take_demand(), int(DEMAND_INTERVAL_S * 1000)
             )
             try:
                 await stream.send(report)
@@ -204,7 +204,7 @@
             self._ask_on_loop(message), self._loop
         )
         try:
-            return work.result(REPLY_S + 1)
+            return work.result(REPLY_TIMEOUT_S + 1)
         except (TimeoutError, concurrent.futures.CancelledError):
             return None
 
@@ -216,7 +216,7 @@
         self._replies[message.request_id] = future
         try:
             await stream.send(message)
-            return await asyncio.wait_for(future, REPLY_S)
+            return await asyncio.wait_for(future, REPLY_TIMEOUT_S)
         except (streams.StreamClosedError, TimeoutError):
             return None
         finally:
--- a/sesamecross/entry/pump.py
+++ b/sesamecross/entry/stream_relay.py
@@ -21,11 +21,11 @@
 from sesamecross.ports import engine_stream
 from sesamecross.runtime import logs
 
-SWEEP_S = 0.25
+SWEEP_INTERVAL_S = 0.25
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Finished:
+class Completed:
     """The answer came to its proper end."""
 
 
@@ -43,7 +43,7 @@
     reason: str
 
 
-Ending = Finished | Interrupted | CallerLeft
+TransferResult = Completed | Interrupted | CallerLeft
 
 
 class Transfer:
@@ -51,17 +51,17 @@
 
     __slots__ = (
         "stream",
-        "check",
+        "validator",
         "sink",
-        "stall_s",
-        "caller_idle_s",
+        "engine_idle_timeout_s",
+        "caller_idle_timeout_s",
         "deadline_s",
         "first_s",
         "last_token_s",
-        "ending",
+        "result",
         "done",
-        "engine_since_s",
-        "caller_since_s",
+        "engine_idle_since_s",
+        "caller_idle_since_s",
         "reading",
         "writing",
     )
@@ -69,38 +69,38 @@
     def __init__(
         self,
         stream: engine_stream.EngineStream,
-        check: answer_validator.AnswerValidator,
+        validator: answer_validator.AnswerValidator,
         sink: sinks.Sink,
-        stall_s: float,
-        caller_idle_s: float,
+        engine_idle_timeout_s: float,
+        caller_idle_timeout_s: float,
         deadline_s: float,
     ):
         self.stream = stream
-        self.check = check
+        self.validator = validator
         self.sink = sink
-        self.stall_s = stall_s
-        self.caller_idle_s = caller_idle_s
+        self.engine_idle_timeout_s = engine_idle_timeout_s
+        self.caller_idle_timeout_s = caller_idle_timeout_s
         self.deadline_s = deadline_s
         self.first_s: float | None = None
         self.last_token_s = 0.0
-        self.ending: Ending | None = None
+        self.result: TransferResult | None = None
         self.done = threading.Event()
-        self.engine_since_s = self.caller_since_s = time.monotonic()
+        self.engine_idle_since_s = self.caller_idle_since_s = time.monotonic()
         self.reading = False
         self.writing = False
 
     def read_engine(self, now_s: float) -> None:
         """Moves what the engine has sent; may set `ending`."""
-        self.engine_since_s = now_s
+        self.engine_idle_since_s = now_s
         try:
             events = self.stream.read(None)
-            before = self.check.tokens
+            before = self.validator.tokens
             chunks = []
             for event in events:
-                chunk = self.check.process_event(event)
+                chunk = self.validator.process_event(event)
                 if chunk is not None:
                     chunks.append(chunk)
-            if self.check.tokens > before:
+            if self.validator.tokens > before:
                 self.first_s = self.first_s or now_s
                 self.last_token_s = now_s
             if chunks:
@@ -109,54 +109,54 @@
             engine_stream.StreamBroken,
             answer_validator.InvalidEventError,
         ) as error:
-            self.ending = Interrupted(str(error))
-        except sinks.CallerGone as error:
-            self.ending = CallerLeft(str(error))
+            self.result = Interrupted(str(error))
+        except sinks.CallerDisconnectedError as error:
+            self.result = CallerLeft(str(error))
         else:
             self._look_for_end()
 
     def _look_for_end(self) -> None:
-        if self.check.done:
+        if self.validator.done:
             if not self.sink.pending:
-                self.ending = Finished()
+                self.result = Completed()
         elif self.stream.ended:
-            self.ending = Interrupted("the answer ended early")
+            self.result = Interrupted("the answer ended early")
 
     def write_caller(self, now_s: float) -> None:
         """Sends what waits for the caller; may set `ending`."""
         try:
             if self.sink.flush():
-                self.caller_since_s = now_s
-        except sinks.CallerGone as error:
-            self.ending = CallerLeft(str(error))
+                self.caller_idle_since_s = now_s
+        except sinks.CallerDisconnectedError as error:
+            self.result = CallerLeft(str(error))
         else:
-            if self.check.done and not self.sink.pending:
-                self.ending = Finished()
+            if self.validator.done and not self.sink.pending:
+                self.result = Completed()
 
     def check_caller(self) -> None:
         """Looks whether the caller hung up; may set `ending`."""
         try:
             self.sink.check_alive()
-        except sinks.CallerGone as error:
-            self.ending = CallerLeft(str(error))
+        except sinks.CallerDisconnectedError as error:
+            self.result = CallerLeft(str(error))
 
     def sweep(self, now_s: float) -> None:
         """Looks at the time that passed; may set `ending`."""
         if self.sink.pending:
-            if now_s - self.caller_since_s > self.caller_idle_s:
-                self.ending = CallerLeft("does not read")
+            if now_s - self.caller_idle_since_s > self.caller_idle_timeout_s:
+                self.result = CallerLeft("does not read")
         else:
-            self.caller_since_s = now_s
-        if self.check.done or self.sink.is_full:
+            self.caller_idle_since_s = now_s
+        if self.validator.done or self.sink.is_full:
             # It is the caller who is waited for, not the engine.
-            self.engine_since_s = now_s
-        elif now_s - self.engine_since_s > self.stall_s:
-            self.ending = Interrupted("the engine is silent")
-        if now_s > self.deadline_s and self.ending is None:
-            self.ending = Interrupted("the deadline passed")
+            self.engine_idle_since_s = now_s
+        elif now_s - self.engine_idle_since_s > self.engine_idle_timeout_s:
+            self.result = Interrupted("the engine is silent")
+        if now_s > self.deadline_s and self.result is None:
+            self.result = Interrupted("the deadline passed")
 
 
-class Pump:
+class StreamRelay:
     """The thread and its selector."""
 
     __slots__ = ("_selector", "_lock", "_new", "_wake", "_woken", "_active")
@@ -175,7 +175,7 @@
         self._selector.register(self._woken, selectors.EVENT_READ, None)
         threading.Thread(target=self._run, name="pump", daemon=True).start()
 
-    def move(self, transfer: Transfer) -> Ending:
+    def run_transfer(self, transfer: Transfer) -> TransferResult:
         """Moves one attempt to its end; the calling thread waits."""
         with self._lock:
             self._new.append(transfer)
@@ -183,29 +183,29 @@
         with contextlib.suppress(BlockingIOError):
             self._wake.send(b"x")
         transfer.done.wait()
-        return transfer.ending
+        return transfer.result
 
     def _run(self) -> None:
         log = logs.get_logger("pump")
         swept_s = 0.0
         while True:
-            ready = self._selector.select(SWEEP_S)
+            ready = self._selector.select(SWEEP_INTERVAL_S)
             now_s = time.monotonic()
             for key, mask in ready:
                 if key.data is None:
                     self._take_new()
                     continue
                 transfer, is_engine = key.data
-                if transfer.ending is not None:
+                if transfer.result is not None:
                     continue
                 try:
                     self._serve(transfer, is_engine, mask, now_s)
                 except Exception as error:
                     # A fault in one transfer must not stop all others.
                     log.exception("transfer failed")
-                    transfer.ending = Interrupted(repr(error))
+                    transfer.result = Interrupted(repr(error))
                 self._settle(transfer)
-            if now_s - swept_s > SWEEP_S:
+            if now_s - swept_s > SWEEP_INTERVAL_S:
                 swept_s = now_s
                 self._sweep(now_s)
 
@@ -231,15 +231,15 @@
             return
         if mask & selectors.EVENT_WRITE:
             transfer.write_caller(now_s)
-        if mask & selectors.EVENT_READ and transfer.ending is None:
+        if mask & selectors.EVENT_READ and transfer.result is None:
             transfer.check_caller()
 
     def _settle(self, transfer: Transfer) -> None:
         """Registers what the transfer waits for now, or ends it."""
-        if transfer.ending is not None:
+        if transfer.result is not None:
             self._end(transfer)
             return
-        wants_read = not (transfer.check.done or transfer.sink.is_full)
+        wants_read = not (transfer.validator.done or transfer.sink.is_full)
         if wants_read != transfer.reading:
             transfer.reading = wants_read
             if wants_read:
@@ -269,7 +269,7 @@
         for transfer in list(self._active):
             if isinstance(transfer.sink, sinks.CallerSink):
                 transfer.check_caller()
-            if transfer.ending is None:
+            if transfer.result is None:
                 transfer.sweep(now_s)
-            if transfer.ending is not None:
+            if transfer.result is not None:
                 self._settle(transfer)
