--- a/sesamecross/ops/fleet/demand.py
+++ b/sesamecross/ops/fleet/demand.py
@@ -12,12 +12,12 @@
 
 # Time constant of the rate. Demand moves to other models within a few seconds;
 # this follows it, and a single request still shows for some seconds.
-RATE_S = 2.0
+RATE_TIME_CONSTANT_S = 2.0
 # A rate below this, in requests per second, counts as none and is not reported.
-RATE_LEAST = 0.01
+MIN_RATE = 0.01
 LATE_WEIGHT = 0.1
 # Weight of the newest request in the averages of service and prefill time.
-WORK_WEIGHT = 0.1
+TIME_WEIGHT = 0.1
 
 Key = tuple[str, str]
 
@@ -31,9 +31,9 @@
     place_s: float = 0.0
     read_s: float = 0.0
 
-    def now(self, now_s: float) -> float:
+    def rate_at(self, now_s: float) -> float:
         """Returns the rate, decayed to now."""
-        return self.rate * math.exp((self.at_s - now_s) / RATE_S)
+        return self.rate * math.exp((self.at_s - now_s) / RATE_TIME_CONSTANT_S)
 
 
 class DemandMeter:
@@ -54,38 +54,38 @@
             the target has been sent.
         """
         meter = self._meters.setdefault(key, _Meter())
-        meter.rate = meter.now(now_s) + 1.0 / RATE_S
+        meter.rate = meter.rate_at(now_s) + 1.0 / RATE_TIME_CONSTANT_S
         meter.at_s = now_s
         meter.read_s = meter.read_s or read_s
 
-    def adjust_waiting(self, key: Key, by: int) -> None:
+    def adjust_waiting(self, key: Key, change: int) -> None:
         """Records that a request starts (1) or stops (-1) waiting."""
-        self._meters.setdefault(key, _Meter()).waiting += by
+        self._meters.setdefault(key, _Meter()).waiting += change
 
     def record_outcome(self, key: Key, was_late: bool) -> None:
         """Records whether a request missed its latency objective."""
         meter = self._meters.setdefault(key, _Meter())
         meter.late += (float(was_late) - meter.late) * LATE_WEIGHT
 
-    def record_service_time(self, key: Key, lasted_s: float) -> None:
+    def record_service_time(self, key: Key, duration_s: float) -> None:
         """Records how long a request was at an engine, from sending to end."""
         meter = self._meters.setdefault(key, _Meter())
         if not meter.place_s:
-            meter.place_s = lasted_s
-        meter.place_s += (lasted_s - meter.place_s) * WORK_WEIGHT
+            meter.place_s = duration_s
+        meter.place_s += (duration_s - meter.place_s) * TIME_WEIGHT
 
     def record_prompt(self, key: Key, read_s: float) -> None:
         """Records the expected prefill time of a prompt that is sent."""
         meter = self._meters.setdefault(key, _Meter(read_s=read_s))
-        meter.read_s += (read_s - meter.read_s) * WORK_WEIGHT
+        meter.read_s += (read_s - meter.read_s) * TIME_WEIGHT
 
     def rows(self, now_s: float) -> list[fm.TargetDemand]:
         """Returns the current demand; drops targets that have none."""
         rows = []
         for key in list(self._meters):
             meter = self._meters[key]
-            rate = meter.now(now_s)
-            if rate < RATE_LEAST and not meter.waiting:
+            rate = meter.rate_at(now_s)
+            if rate < MIN_RATE and not meter.waiting:
                 del self._meters[key]
                 continue
             rows.append(
--- a/sesamecross/ops/fleet/demand_history.py
+++ b/sesamecross/ops/fleet/demand_history.py
@@ -14,21 +14,21 @@
 
 # Time constant of the long-term rate: a model requested once in this time stays
 # if there is room.
-LONG_S = 4.0
+LONG_TERM_S = 4.0
 # Cap on the rate that enters the long-term rate, so that a model without
 # further requests can be evicted within seconds, however busy it was.
-USUAL_MOST = 1.0
+MAX_LONG_TERM_RATE = 1.0
 # After this long without any requests, the demand has to be learned again.
 PAUSE_S = 5.0
 
 # How long the last use of a target is remembered.
-USED_KEPT_S = 60.0
+LAST_USE_TTL_S = 60.0
 
 Key = tuple[str, str]
 
 
-def _load(
-    spec: serving.EngineSpec, reading: float, places: float, running: int
+def _engines_needed(
+    spec: serving.EngineSpec, prefill: float, slots_used: float, running: int
 ) -> float:
     """Returns how many engines a model's requests keep busy.
 
@@ -41,11 +41,11 @@
 
     Args:
       spec: The engines.
-      reading: Engines needed for the prefill alone.
-      places: Slots that the requests take if all of them are served.
+      prefill: Engines needed for the prefill alone.
+      slots_used: Slots that the requests take if all of them are served.
       running: Requests in flight.
     """
-    return max(reading, max(places, running) / max(1, spec.slots))
+    return max(prefill, max(slots_used, running) / max(1, spec.slots))
 
 
 class DemandHistory:
@@ -56,23 +56,23 @@
     """
 
     __slots__ = (
-        "_usual",
+        "_long_term_rates",
         "_at_s",
-        "_missed_s",
-        "_awake_s",
-        "_asked_s",
-        "_used_s",
+        "_missing_since_s",
+        "_active_since_s",
+        "_last_request_s",
+        "_last_used_s",
         "from_store",
     )
 
     def __init__(self) -> None:
-        self._usual: dict[Key, float] = {}
+        self._long_term_rates: dict[Key, float] = {}
         self._at_s: float | None = None
-        self._missed_s: dict[Key, float] = {}
-        self._awake_s: float | None = None
-        self._asked_s = 0.0
+        self._missing_since_s: dict[Key, float] = {}
+        self._active_since_s: float | None = None
+        self._last_request_s = 0.0
         # When a target was last seen in use, by engine and target.
-        self._used_s: dict[Key, float] = {}
+        self._last_used_s: dict[Key, float] = {}
         self.from_store: set[str] = set()
 
     def demand_age_s(self, now_s: float) -> float:
@@ -81,15 +81,22 @@
         It is infinite while there are no requests, as then no demand can be
         missing from the reports.
         """
-        return math.inf if self._awake_s is None else now_s - self._awake_s
-
-    def _note_awake(self, is_in_demand: bool, now_s: float) -> None:
-        if is_in_demand:
-            if self._awake_s is None:
-                self._awake_s = now_s
-            self._asked_s = now_s
-        elif self._awake_s is not None and now_s - self._asked_s > PAUSE_S:
-            self._awake_s = None
+        return (
+            math.inf
+            if self._active_since_s is None
+            else now_s - self._active_since_s
+        )
+
+    def _note_activity(self, has_requests: bool, now_s: float) -> None:
+        if has_requests:
+            if self._active_since_s is None:
+                self._active_since_s = now_s
+            self._last_request_s = now_s
+        elif (
+            self._active_since_s is not None
+            and now_s - self._last_request_s > PAUSE_S
+        ):
+            self._active_since_s = None
 
     def last_used(
         self, in_use: Mapping[Key, int], now_s: float
@@ -100,18 +107,18 @@
           in_use: Requests in flight by engine and target.
           now_s: Monotonic time.
         """
-        self._used_s = {
+        self._last_used_s = {
             key: at_s
-            for key, at_s in self._used_s.items()
-            if now_s - at_s < USED_KEPT_S
+            for key, at_s in self._last_used_s.items()
+            if now_s - at_s < LAST_USE_TTL_S
         } | dict.fromkeys(in_use, now_s)
-        return self._used_s
+        return self._last_used_s
 
     def demand(
         self,
         service: str,
         spec: serving.EngineSpec,
-        told: Mapping[Key, fm.TargetDemand],
+        reported: Mapping[Key, fm.TargetDemand],
         in_use: Mapping[Key, int],
         held: set[str],
         wants: Mapping[tuple[str, str, str], float],
@@ -122,7 +129,7 @@
         Args:
           service: The service of the models.
           spec: What its engines can load.
-          told: Demand over all instances, by service and target.
+          reported: Demand over all instances, by service and target.
           in_use: Requests in flight by engine and target.
           held: Models that some engine holds or loads.
           wants: Targets that requests wait for, by service, target and engine.
@@ -130,24 +137,26 @@
         """
         rates: dict[str, float] = {}
         late: dict[str, float] = {}
-        places: dict[str, float] = {}
-        reading: dict[str, float] = {}
+        slots_used: dict[str, float] = {}
+        prefill: dict[str, float] = {}
         waiting: dict[str, int] = {}
-        for (of, target), one in told.items():
-            if of == service:
+        for (of_service, target), demand_row in reported.items():
+            if of_service == service:
                 model = target.partition("/")[0]
-                rates[model] = rates.get(model, 0.0) + one.rate
-                taken = one.rate * one.place_s
-                places[model] = places.get(model, 0.0) + taken
-                reads = one.rate * one.read_s
-                reading[model] = reading.get(model, 0.0) + reads
-                late[model] = late.get(model, 0.0) + one.rate * one.late
+                rates[model] = rates.get(model, 0.0) + demand_row.rate
+                used = demand_row.rate * demand_row.place_s
+                slots_used[model] = slots_used.get(model, 0.0) + used
+                prefill_load = demand_row.rate * demand_row.read_s
+                prefill[model] = prefill.get(model, 0.0) + prefill_load
+                late[model] = (
+                    late.get(model, 0.0) + demand_row.rate * demand_row.late
+                )
                 if model == target:
-                    waiting[model] = waiting.get(model, 0) + one.waiting
-        for of, target, _ in wants:
-            if of == service and "/" not in target:
+                    waiting[model] = waiting.get(model, 0) + demand_row.waiting
+        for of_service, target, _ in wants:
+            if of_service == service and "/" not in target:
                 waiting[target] = max(1, waiting.get(target, 0))
-        self._note_awake(bool(rates or waiting), now_s)
+        self._note_activity(bool(rates or waiting), now_s)
         self._smooth(service, spec, rates, now_s)
         running: dict[str, int] = {}
         for (_, target), count in in_use.items():
@@ -156,11 +165,11 @@
         return {
             name: placement_types.ModelDemand(
                 rates.get(name, 0.0),
-                self._usual.get((service, name), 0.0),
-                _load(
+                self._long_term_rates.get((service, name), 0.0),
+                _engines_needed(
                     spec,
-                    reading.get(name, 0.0),
-                    places.get(name, 0.0),
+                    prefill.get(name, 0.0),
+                    slots_used.get(name, 0.0),
                     running.get(name, 0),
                 ),
                 waiting.get(name, 0),
@@ -181,12 +190,12 @@
         """Returns for how long requests have found no engine with a model."""
         key = (service, name)
         if name in held:
-            self._missed_s.pop(key, None)
+            self._missing_since_s.pop(key, None)
             return 0.0
         if waiting.get(name):
-            self._missed_s.setdefault(key, now_s)
-        missed_s = self._missed_s.get(key)
-        return 0.0 if missed_s is None else now_s - missed_s
+            self._missing_since_s.setdefault(key, now_s)
+        missing_since_s = self._missing_since_s.get(key)
+        return 0.0 if missing_since_s is None else now_s - missing_since_s
 
     def _smooth(
         self,
@@ -195,11 +204,11 @@
         rates: Mapping[str, float],
         now_s: float,
     ) -> None:
-        passed_s = 0.0 if self._at_s is None else now_s - self._at_s
+        elapsed_s = 0.0 if self._at_s is None else now_s - self._at_s
         self._at_s = now_s
-        keep = math.exp(-passed_s / LONG_S)
+        keep = math.exp(-elapsed_s / LONG_TERM_S)
         for name in spec.models:
             key = (service, name)
-            usual = self._usual.get(key, 0.0)
-            rate = min(USUAL_MOST, rates.get(name, 0.0))
-            self._usual[key] = rate + (usual - rate) * keep
+            long_term_rate = self._long_term_rates.get(key, 0.0)
+            rate = min(MAX_LONG_TERM_RATE, rates.get(name, 0.0))
+            self._long_term_rates[key] = rate + (long_term_rate - rate) * keep
--- a/sesamecross/ops/fleet/demand_history_test.py
+++ b/sesamecross/ops/fleet/demand_history_test.py
@@ -18,9 +18,9 @@
 ):
     model = serving.ModelSpec("m", 40.0, 2.0, 0.5, 0.3, 0, 1.0)
     spec = serving.EngineSpec(slots, 66_000, 200.0, 8, 2.0, 8, {"m": model})
-    told = {KEY: fm.TargetDemand("s", "m", rate, 0, 0.0, place_s, read_s)}
+    reported = {KEY: fm.TargetDemand("s", "m", rate, 0, 0.0, place_s, read_s)}
     demand = demand_history.DemandHistory().demand(
-        "s", spec, told, {("e1", "m"): running}, {"m"}, {}, 100.0
+        "s", spec, reported, {("e1", "m"): running}, {"m"}, {}, 100.0
     )
     return demand["m"].load
 
@@ -77,11 +77,11 @@
     # An instance where no request has ended does not lower the mean.
     unknown = fm.TargetDemand("s", "m", 9.0, 0, 0.0, 0.0)
     me = fm.Member("a", 1, "z", "a:1", 1, 1)
-    sums = report_totals.aggregate(
+    totals = report_totals.aggregate(
         [
             fm.Report(me, 1, demand=[row]),
             fm.Report(me, 1, demand=[unknown]),
         ]
     )
-    assert sums.demand[KEY].place_s == pytest.approx(STREAM_S)
-    assert sums.demand[KEY].rate == pytest.approx(9.5)
+    assert totals.demand[KEY].place_s == pytest.approx(STREAM_S)
+    assert totals.demand[KEY].rate == pytest.approx(9.5)
--- a/sesamecross/ops/fleet/directory.py
+++ b/sesamecross/ops/fleet/directory.py
@@ -13,7 +13,7 @@
 from sesamecross.core import serving
 from sesamecross.ops.fleet import engine_state
 from sesamecross.ops.fleet import health as health_lib
-from sesamecross.ops.fleet import reachability as reach_lib
+from sesamecross.ops.fleet import reachability as reachability_lib
 
 # A lapsed entry is used as a last resort for this share of the drain bound:
 # entries also lapse during a store outage, and return within two seconds of its
@@ -24,12 +24,12 @@
 # learn of it (up to 1 s through a hub) and the way to the upstream.
 LEAVING_USE_SHARE = 0.3
 # A leaving upstream serves for the drain bound and this much longer.
-LINGER_S = 1.0
+LEAVING_GRACE_S = 1.0
 # Weight of the newest request in the average duration.
-WORK_LEARN = 0.1
+DURATION_WEIGHT = 0.1
 # From this share of failures on, no new requests are sent if another upstream
 # can serve them.
-DOWN_SHARE = 0.75
+DOWN_FAILURE_SHARE = 0.75
 
 
 @dataclasses.dataclass(slots=True)
@@ -64,13 +64,13 @@
     own_running: int = 0
     others_running: float = 0.0
     others_outcomes: health_lib.Outcomes = health_lib.Outcomes()
-    reachability: reach_lib.Reachability = dataclasses.field(
-        default_factory=reach_lib.Reachability
+    reachability: reachability_lib.Reachability = dataclasses.field(
+        default_factory=reachability_lib.Reachability
     )
-    others_reachability: reach_lib.ReachabilityCounts = (
-        reach_lib.ReachabilityCounts()
+    others_reachability: reachability_lib.ReachabilityCounts = (
+        reachability_lib.ReachabilityCounts()
     )
-    work_s: float = 0.0
+    mean_duration_s: float = 0.0
     engine: engine_state.EngineState = dataclasses.field(
         default_factory=engine_state.EngineState
     )
@@ -92,23 +92,28 @@
     def seems_down(self, now_s: float) -> bool:
         """Whether this instance should send no new requests there."""
         own = self.reachability.state(now_s)
-        if own in (reach_lib.State.SILENT, reach_lib.State.REFUSED):
+        if own in (
+            reachability_lib.State.SILENT,
+            reachability_lib.State.REFUSED,
+        ):
             return True
         return self.is_down(now_s)
 
     def is_down(self, now_s: float) -> bool:
         """Whether it is down for all instances, or nearly all requests fail."""
-        if self.failing(now_s) >= DOWN_SHARE:
+        if self.failing(now_s) >= DOWN_FAILURE_SHARE:
             return True
         return self.others_reachability.plus(
             self.reachability.state(now_s)
         ).is_down
 
-    def record_duration(self, took_s: float) -> None:
+    def record_duration(self, duration_s: float) -> None:
         """Updates the average duration of requests there."""
-        if not self.work_s:
-            self.work_s = took_s
-        self.work_s += (took_s - self.work_s) * WORK_LEARN
+        if not self.mean_duration_s:
+            self.mean_duration_s = duration_s
+        self.mean_duration_s += (
+            duration_s - self.mean_duration_s
+        ) * DURATION_WEIGHT
 
 
 class Directory:
@@ -175,16 +180,16 @@
 
     def remove_lapsed(self, now_s: float) -> list[KnownUpstream]:
         """Removes upstreams that lapsed a drain bound ago; returns them."""
-        gone = [
+        expired = [
             known
             for known in self._known.values()
             if known.lapsed_s is not None
             and now_s - known.lapsed_s >= self.drain_s
             and not known.own_running
         ]
-        for known in gone:
+        for known in expired:
             del self._known[known.entry.instance_id]
-        return gone
+        return expired
 
     def usable(self, service: str, now_s: float) -> list[KnownUpstream]:
         """Returns the upstreams of a service that may receive new requests.
@@ -192,7 +197,7 @@
         Upstreams with lapsed entries are returned only if there are no others,
         and only for a share of the drain bound.
         """
-        found = []
+        active = []
         lapsed = []
         for known in self._known.values():
             if known.entry.service != service:
@@ -202,13 +207,13 @@
             if known.leaving_s is not None:
                 continue
             if known.lapsed_s is None:
-                found.append(known)
+                active.append(known)
             elif now_s - known.lapsed_s < self.drain_s * LAPSED_USE_SHARE:
                 lapsed.append(known)
-        return found or lapsed
+        return active or lapsed
 
     def usable_while_leaving(
-        self, service: str, lasts_s: float, now_s: float
+        self, service: str, duration_s: float, now_s: float
     ) -> list[KnownUpstream]:
         """Returns leaving upstreams that may still receive a request.
 
@@ -227,11 +232,11 @@
             and not known.is_replaced
             and known.lapsed_s is None
             and known.leaving_s is not None
-            and self._serves_on(known, lasts_s, now_s)
+            and self._serves_on(known, duration_s, now_s)
         ]
 
     def may_receive(
-        self, known: KnownUpstream, lasts_s: float, now_s: float
+        self, known: KnownUpstream, duration_s: float, now_s: float
     ) -> bool:
         """Whether an upstream that was chosen earlier may still get a request.
 
@@ -243,16 +248,16 @@
         if known.is_replaced:
             return False
         if known.leaving_s is not None:
-            return self._serves_on(known, lasts_s, now_s)
+            return self._serves_on(known, duration_s, now_s)
         return True
 
     def _serves_on(
-        self, known: KnownUpstream, lasts_s: float, now_s: float
+        self, known: KnownUpstream, duration_s: float, now_s: float
     ) -> bool:
-        gone_s = now_s - known.leaving_s
-        if gone_s >= self.drain_s * LEAVING_USE_SHARE:
+        leaving_for_s = now_s - known.leaving_s
+        if leaving_for_s >= self.drain_s * LEAVING_USE_SHARE:
             return False
-        stays_s = known.entry.remaining_s
-        if stays_s is None:
-            stays_s = self.drain_s + LINGER_S
-        return gone_s + lasts_s < stays_s
+        serves_for_s = known.entry.remaining_s
+        if serves_for_s is None:
+            serves_for_s = self.drain_s + LEAVING_GRACE_S
+        return leaving_for_s + duration_s < serves_for_s
--- a/sesamecross/ops/fleet/directory_test.py
+++ b/sesamecross/ops/fleet/directory_test.py
@@ -13,8 +13,8 @@
 SHORT_S = 0.1
 
 
-def names(found) -> list[str]:
-    return [one.entry.instance_id for one in found]
+def names(active) -> list[str]:
+    return [one.entry.instance_id for one in active]
 
 
 def test_an_upstream_that_leaves_gets_what_was_chosen_before_no_longer():
--- a/sesamecross/ops/fleet/duty_cycle.py
+++ b/sesamecross/ops/fleet/duty_cycle.py
@@ -16,18 +16,18 @@
       free_s: When the next run may start.
     """
 
-    __slots__ = ("free_s", "_rests", "_least_s")
+    __slots__ = ("free_s", "_pause_factor", "_min_interval_s")
 
-    def __init__(self, rests: float, least_s: float = 0.0):
+    def __init__(self, pause_factor: float, min_interval_s: float = 0.0):
         """Sets the limits.
 
         Args:
-          rests: Length of the pause as a multiple of the run before it.
-          least_s: Minimum time between the starts of two runs.
+          pause_factor: Length of the pause as a multiple of the run before it.
+          min_interval_s: Minimum time between the starts of two runs.
         """
         self.free_s = 0.0
-        self._rests = rests
-        self._least_s = least_s
+        self._pause_factor = pause_factor
+        self._min_interval_s = min_interval_s
 
     def may_begin(self, now_s: float) -> bool:
         """Whether the next run may start now."""
@@ -35,36 +35,36 @@
 
     def done(self, begun_s: float, ended_s: float) -> None:
         """Records when a run started and ended."""
-        rest_s = (ended_s - begun_s) * self._rests
-        self.free_s = max(begun_s + self._least_s, ended_s + rest_s)
+        pause_s = (ended_s - begun_s) * self._pause_factor
+        self.free_s = max(begun_s + self._min_interval_s, ended_s + pause_s)
 
 
 class Cooldown:
     """Suppresses repetitions of a message for some time, by key."""
 
-    __slots__ = ("_again_s", "_said", "_swept_s")
+    __slots__ = ("_interval_s", "_sent_s", "_cleaned_s")
 
-    def __init__(self, again_s: float):
-        self._again_s = again_s
-        self._said: dict[Hashable, float] = {}
-        self._swept_s = 0.0
+    def __init__(self, interval_s: float):
+        self._interval_s = interval_s
+        self._sent_s: dict[Hashable, float] = {}
+        self._cleaned_s = 0.0
 
-    def is_due(self, what: Hashable, now_s: float) -> bool:
+    def is_due(self, key: Hashable, now_s: float) -> bool:
         """Whether to send it now; if so, it counts as sent."""
-        said_s = self._said.get(what)
-        if said_s is not None and now_s - said_s < self._again_s:
+        sent_s = self._sent_s.get(key)
+        if sent_s is not None and now_s - sent_s < self._interval_s:
             return False
-        self._sweep(now_s)
-        self._said[what] = now_s
+        self._remove_expired(now_s)
+        self._sent_s[key] = now_s
         return True
 
-    def _sweep(self, now_s: float) -> None:
+    def _remove_expired(self, now_s: float) -> None:
         """Removes expired keys, once per interval."""
-        if now_s - self._swept_s < self._again_s:
+        if now_s - self._cleaned_s < self._interval_s:
             return
-        self._swept_s = now_s
-        self._said = {
-            what: said_s
-            for what, said_s in self._said.items()
-            if now_s - said_s < self._again_s
+        self._cleaned_s = now_s
+        self._sent_s = {
+            key: sent_s
+            for key, sent_s in self._sent_s.items()
+            if now_s - sent_s < self._interval_s
         }
--- a/sesamecross/ops/fleet/duty_cycle_test.py
+++ b/sesamecross/ops/fleet/duty_cycle_test.py
@@ -13,9 +13,11 @@
 ]
 
 
-@pytest.mark.parametrize(("took_s", "least_s", "free_s"), RUNS)
-def test_work_pauses_in_proportion_to_its_duration(took_s, least_s, free_s):
-    one = duty_cycle.DutyCycle(4.0, least_s)
+@pytest.mark.parametrize(("took_s", "min_interval_s", "free_s"), RUNS)
+def test_work_pauses_in_proportion_to_its_duration(
+    took_s, min_interval_s, free_s
+):
+    one = duty_cycle.DutyCycle(4.0, min_interval_s)
     assert one.may_begin(1.0)
     one.done(1.0, 1.0 + took_s)
     assert one.free_s == pytest.approx(free_s)
@@ -25,12 +27,12 @@
 
 def test_a_message_is_sent_again_after_the_interval():
     one = duty_cycle.Cooldown(0.25)
-    told = [one.is_due("m", now_s) for now_s in (0.0, 0.1, 0.24, 0.26, 0.3)]
-    assert told == [True, False, False, True, False]
+    sent = [one.is_due("m", now_s) for now_s in (0.0, 0.1, 0.24, 0.26, 0.3)]
+    assert sent == [True, False, False, True, False]
 
 
 def test_expired_keys_take_no_memory():
     one = duty_cycle.Cooldown(0.25)
     for number in range(10_000):
         assert one.is_due(number, number * 0.01)
-    assert len(one._said) < 100
+    assert len(one._sent_s) < 100
--- a/sesamecross/ops/fleet/engine_choice.py
+++ b/sesamecross/ops/fleet/engine_choice.py
@@ -17,18 +17,18 @@
 
 # Cost of a failure, as service_choice.FAILURE_PENALTY_S. It is higher here: a
 # stream that fails midway loses everything it has delivered.
-FAILURE_S = 2.0
+FAILURE_PENALTY_S = 2.0
 # Time to have an adapter loaded: to the lease holder, to the engine, some
 # milliseconds of loading, and back.
-ADAPTER_S = 0.08
-# How long a request holds its slot; gives the wait for a place in a full batch.
-HOLD_S = 2.0
+ADAPTER_LOAD_S = 0.08
+# How long a request holds its slot; gives the wait for a slot in a full batch.
+SLOT_HOLD_S = 2.0
 # Cost of a full batch. One more request delays the events of all others in a
 # full batch and of none in a nearly empty one, so the cost grows with the
 # square of the share of slots in use. An engine a third full costs as much as
 # an empty one in another region (45 ms).
-CROWD_S = 0.4
-NEAR_S = 0.01
+FULL_BATCH_PENALTY_S = 0.4
+TIE_TOLERANCE_S = 0.01
 # Time per token of an ordinary stream; gives the duration of a request.
 TOKEN_INTERVAL_S = 0.009
 
@@ -56,7 +56,7 @@
     lacks_adapter: bool
 
 
-def rate(
+def estimate(
     call: serving.ModelCall,
     known: directory_lib.KnownUpstream,
     location: service_choice.Location,
@@ -64,26 +64,34 @@
 ) -> Choice:
     """Estimates what the call would meet at an engine that holds its model."""
     engine = known.engine
-    kept = engine.cache.cached_tokens(call)
-    fresh = max(1, call.prompt_tokens - kept)
-    ahead = engine.own_prompt_tokens + engine.others_prompt_tokens
+    cached = engine.cache.cached_tokens(call)
+    uncached = max(1, call.prompt_tokens - cached)
+    queued = engine.own_prompt_tokens + engine.others_prompt_tokens
     speed = engine.speed(call.model)
-    first_ms = speed.predict(ahead + fresh)
+    first_ms = speed.predict(queued + uncached)
     slots = max(1, known.entry.slots)
-    waiting = max(0.0, known.running + 1 - slots)
-    lacks = bool(call.adapter) and not engine.holds(
+    overflow = max(0.0, known.running + 1 - slots)
+    must_load_adapter = bool(call.adapter) and not engine.holds(
         known.entry, call.target, now_s
     )
     expected_s = (
         location.round_trip_s(known.entry.zone)
         + first_ms / 1000
-        + waiting / slots * HOLD_S
-        + (known.running / slots) ** 2 * CROWD_S
-        + known.failing(now_s) * FAILURE_S
-        + (ADAPTER_S if lacks else 0.0)
+        + overflow / slots * SLOT_HOLD_S
+        + (known.running / slots) ** 2 * FULL_BATCH_PENALTY_S
+        + known.failing(now_s) * FAILURE_PENALTY_S
+        + (ADAPTER_LOAD_S if must_load_adapter else 0.0)
+    )
+    read_s = speed.slope * uncached / 1000
+    return Choice(
+        known,
+        expected_s,
+        uncached,
+        read_s,
+        queued,
+        known.running,
+        must_load_adapter,
     )
-    read_s = speed.slope * fresh / 1000
-    return Choice(known, expected_s, fresh, read_s, ahead, known.running, lacks)
 
 
 def choose(
@@ -95,13 +103,17 @@
 ) -> Choice | None:
     """Returns the best engine among those that hold the call's model."""
     rated = [
-        rate(call, known, location, now_s)
+        estimate(call, known, location, now_s)
         for known in candidates
         if known.engine.holds(known.entry, call.model, now_s)
         and not known.seems_down(now_s)
     ]
     if not rated:
         return None
-    best_s = min(one.expected_s for one in rated)
-    near = [one for one in rated if one.expected_s <= best_s + NEAR_S]
-    return rng.choice(near)
+    best_s = min(choice.expected_s for choice in rated)
+    close = [
+        choice
+        for choice in rated
+        if choice.expected_s <= best_s + TIE_TOLERANCE_S
+    ]
+    return rng.choice(close)
--- a/sesamecross/ops/fleet/engine_inventory.py
+++ b/sesamecross/ops/fleet/engine_inventory.py
@@ -31,7 +31,8 @@
       instance_id: The engine.
       born_ms: Start of this incarnation.
       orders: Number of orders that it has accepted.
-      models: Models that can serve. adapters: adapters that can, as targets.
+      models: Models that can serve.
+      adapters: Adapters that can serve, as targets.
       arriving: Targets being loaded, and when they are expected.
       departing: Models and adapters whose unload was accepted. The engine lists
         them until their last request has ended. It accepts no further order
@@ -56,11 +57,11 @@
     adapters: set[str] = dataclasses.field(default_factory=set)
     arriving: dict[str, float] = dataclasses.field(default_factory=dict)
     departing: set[str] = dataclasses.field(default_factory=set)
-    known_adapters: set[str] = dataclasses.field(default_factory=set)
+    confirmed_adapters: set[str] = dataclasses.field(default_factory=set)
     copies: serving.WeightCopies = serving.WeightCopies()
     is_fully_known: bool = False
     has_reported: bool = False
-    settled_s: float = 0.0
+    reports_valid_from_s: float = 0.0
     loaded_s: dict[str, float] = dataclasses.field(default_factory=dict)
     last_entry: serving.Upstream | None = None
 
@@ -71,9 +72,9 @@
         counts as the largest declared one.
         """
         # A model being unloaded is gone before the next order is accepted.
-        used = sum(_size(spec.models, name) for name in self.all_models())
+        used = sum(_model_mb(spec.models, name) for name in self.all_models())
         for target in self.all_adapters():
-            used += _adapter_size(spec.models, target)
+            used += _adapter_mb(spec.models, target)
         return used
 
     def all_models(self) -> set[str]:
@@ -111,7 +112,7 @@
         self.copies = entry.copies
         listed = engine_state.targets_of(entry.models)
         for target in listed & set(self.arriving):
-            self._arrived(target)
+            self._mark_loaded(target)
         models = {target for target in listed if "/" not in target}
         if models - self.departing != self.models:
             self.is_fully_known = False
@@ -131,18 +132,18 @@
             self.is_fully_known = False
             return
         self.copies = report.copies
-        is_settled = asked_s >= self.settled_s
-        if report.orders < self.orders and not is_settled:
+        reflects_last_order = asked_s >= self.reports_valid_from_s
+        if report.orders < self.orders and not reflects_last_order:
             # The report may be older than the last accepted order.
             return
         self.has_reported = True
         listed = engine_state.targets_of(report.models)
         if report.orders != self.orders:
-            self._adopt(report, listed, now_s)
-        elif is_settled:
-            self._confirm(report, listed, now_s)
+            self._replace_from(report, listed, now_s)
+        elif reflects_last_order:
+            self._update_from(report, listed, now_s)
 
-    def _adopt(
+    def _replace_from(
         self, report: serving.EngineReport, listed: set[str], now_s: float
     ) -> None:
         """Replaces the inventory by a report with another count of orders.
@@ -151,7 +152,7 @@
         """
         self.orders = report.orders
         self.departing.clear()
-        self.known_adapters.clear()
+        self.confirmed_adapters.clear()
         self.models = {target for target in listed if "/" not in target}
         self.adapters = {target for target in listed if "/" in target}
         self.arriving = dict.fromkeys(
@@ -159,7 +160,7 @@
         )
         self.is_fully_known = not report.is_busy
 
-    def _confirm(
+    def _update_from(
         self, report: serving.EngineReport, listed: set[str], now_s: float
     ) -> None:
         """Updates the inventory from a report with the same count of orders.
@@ -167,16 +168,16 @@
         Between two orders a model only appears through the load in progress, or
         disappears through the unload in progress. So a report never removes
         another model: it may be older than the end of that model's load.
-        Adapters are always all listed, or listed as being loaded.
+        Adapters are always complete: listed as held or as being loaded.
         """
         if not report.is_busy:
             self.departing = self.departing_adapters()
-        gone = self.departing_adapters() - listed
-        self.departing -= gone
-        listed = {one for one in listed if not self._departs(one)}
+        unlisted = self.departing_adapters() - listed
+        self.departing -= unlisted
+        listed = {target for target in listed if not self._is_departing(target)}
         models = {target for target in listed if "/" not in target}
         for target in models & set(self.arriving):
-            self._arrived(target)
+            self._mark_loaded(target)
         self.models |= models
         self.adapters = listed - models
         arriving = dict.fromkeys(report.loading_adapters - self.adapters, now_s)
@@ -189,11 +190,11 @@
         }
         self.is_fully_known = self.is_fully_known or not report.is_busy
 
-    def _departs(self, target: str) -> bool:
+    def _is_departing(self, target: str) -> bool:
         model = target.partition("/")[0]
         return target in self.departing or model in self.departing
 
-    def _arrived(self, target: str) -> None:
+    def _mark_loaded(self, target: str) -> None:
         self.loaded_s[target] = self.arriving.pop(target, 0.0)
         if "/" in target:
             self.adapters.add(target)
@@ -203,12 +204,12 @@
     # -- orders --------------------------------------------------------
 
     def order_accepted(
-        self, loads: bool, target: str, eta_s: float, now_s: float
+        self, is_load: bool, target: str, eta_s: float, now_s: float
     ) -> None:
         """Records that the engine accepted an order.
 
         Args:
-          loads: Whether it is a load; else an unload.
+          is_load: Whether it is a load; else an unload.
           target: Model or adapter.
           eta_s: When a load is expected to be complete.
           now_s: Monotonic time.
@@ -217,17 +218,17 @@
         # An engine accepts an order only after completing the previous one for
         # a model.
         self.departing = self.departing_adapters()
-        self.settled_s = now_s + REPORT_LAG_S
-        if loads:
+        self.reports_valid_from_s = now_s + REPORT_LAG_S
+        if is_load:
             self.arriving[target] = eta_s
             if "/" in target:
-                self.known_adapters.add(target)
+                self.confirmed_adapters.add(target)
             return
-        self._unloaded(target)
+        self._remove(target)
         self.departing.add(target)
 
     def order_already_done(
-        self, loads: bool, target: str, now_s: float
+        self, is_load: bool, target: str, now_s: float
     ) -> None:
         """Records the answer ALREADY_DONE: nothing was left to do.
 
@@ -235,31 +236,35 @@
         unloaded an adapter without requests and counts. If the inventory cannot
         tell which, a report is needed.
         """
-        if not loads and target in self.known_adapters:
+        if not is_load and target in self.confirmed_adapters:
             self.order_accepted(False, target, now_s, now_s)
             self.departing.discard(target)
             return
         self.is_fully_known = False
-        self.settled_s = now_s + REPORT_LAG_S
-        if loads:
+        self.reports_valid_from_s = now_s + REPORT_LAG_S
+        if is_load:
             self.arriving.pop(target, None)
             (self.adapters if "/" in target else self.models).add(target)
         else:
-            self._unloaded(target)
+            self._remove(target)
             if "/" in target:
                 self.departing.add(target)
 
-    def _unloaded(self, target: str) -> None:
+    def _remove(self, target: str) -> None:
         """Removes a target, and with a model its adapters."""
         self.models.discard(target)
         prefix = f"{target}/"
-        for held in (self.adapters, self.departing, self.known_adapters):
-            gone = {one for one in held if one.startswith(prefix)}
-            held -= gone | {target}
+        for held in (self.adapters, self.departing, self.confirmed_adapters):
+            removed = {
+                held_target
+                for held_target in held
+                if held_target.startswith(prefix)
+            }
+            held -= removed | {target}
 
     def order_unanswered(self, target: str) -> None:
         """Records an unanswered order, which may be executed at any time."""
-        self.known_adapters.discard(target)
+        self.confirmed_adapters.discard(target)
 
     def complete_due_adapters(self, now_s: float) -> list[str]:
         """Marks adapters that are due as loaded, and returns them.
@@ -273,21 +278,19 @@
             if "/" in target and at_s <= now_s
         ]
         for target in done:
-            self._arrived(target)
+            self._mark_loaded(target)
         return done
 
 
-def _size(models: Mapping[str, serving.ModelSpec], name: str) -> float:
+def _model_mb(models: Mapping[str, serving.ModelSpec], name: str) -> float:
     model = models.get(name)
     if model is not None:
         return model.weights_mb
-    return max((one.weights_mb for one in models.values()), default=0.0)
+    return max((other.weights_mb for other in models.values()), default=0.0)
 
 
-def _adapter_size(
-    models: Mapping[str, serving.ModelSpec], target: str
-) -> float:
+def _adapter_mb(models: Mapping[str, serving.ModelSpec], target: str) -> float:
     model = models.get(target.partition("/")[0])
     if model is not None:
         return model.adapter_mb
-    return max((one.adapter_mb for one in models.values()), default=0.0)
+    return max((other.adapter_mb for other in models.values()), default=0.0)
--- a/sesamecross/ops/fleet/engine_inventory_test.py
+++ b/sesamecross/ops/fleet/engine_inventory_test.py
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "has_reported"),
+    ("received", "has_reported"),
     [
         (None, False),
         # Another incarnation has the address: nothing is known of this one.
@@ -84,23 +84,23 @@
         (report(orders=3, is_busy=True, models=["small"]), True),
     ],
 )
-def test_an_engine_is_heard_once_it_has_reported(told, has_reported):
+def test_an_engine_is_heard_once_it_has_reported(received, has_reported):
     """Only a report counts as one: an entry changes neither flag nor models."""
     inventory = engine_inventory.EngineInventory("e", 1)
     listed = (serving.ResidentModel("large"),)
     inventory.apply_entry(
         serving.Upstream("e", "s", "a:1", "z", 8, False, 1, listed)
     )
-    if told is not None:
-        inventory.apply_report(told, asked_s=1.0, now_s=1.1)
+    if received is not None:
+        inventory.apply_report(received, asked_s=1.0, now_s=1.1)
     assert inventory.has_reported is has_reported
     assert inventory.models == ({"small"} if has_reported else set())
 
 
-SETTLED_S = 5.0
+REPORTS_VALID_FROM_S = 5.0
 
 
-def settled_ledger() -> engine_inventory.EngineInventory:
+def answered_inventory() -> engine_inventory.EngineInventory:
     """Returns an inventory after two orders, the last one just answered."""
     return engine_inventory.EngineInventory(
         "e",
@@ -108,12 +108,12 @@
         orders=2,
         models={"middle"},
         is_fully_known=True,
-        settled_s=SETTLED_S,
+        reports_valid_from_s=REPORTS_VALID_FROM_S,
     )
 
 
 @pytest.mark.parametrize(
-    ("told", "certain", "models"),
+    ("received", "certain", "models"),
     [
         # Another holder's load is in progress: its model is not listed.
         (report(orders=3, is_busy=True, models=["small"]), False, {"small"}),
@@ -125,20 +125,24 @@
         (report(orders=2, models=["other"], born=9), False, {"middle"}),
     ],
 )
-def test_reports(told, certain, models):
-    inventory = settled_ledger()
-    inventory.apply_report(told, asked_s=SETTLED_S, now_s=SETTLED_S + 0.1)
+def test_reports(received, certain, models):
+    inventory = answered_inventory()
+    inventory.apply_report(
+        received, asked_s=REPORTS_VALID_FROM_S, now_s=REPORTS_VALID_FROM_S + 0.1
+    )
     assert inventory.is_fully_known is certain
     assert inventory.models == models
-    assert inventory.orders in (2, told.orders)
+    assert inventory.orders in (2, received.orders)
 
 
 def test_a_lower_count_from_before_the_last_answer_says_nothing():
     """Guards against undoing an order that was accepted since the report."""
-    inventory = settled_ledger()
-    told = report(orders=1, models=["other"])
+    inventory = answered_inventory()
+    received = report(orders=1, models=["other"])
     inventory.apply_report(
-        told, asked_s=SETTLED_S - 0.01, now_s=SETTLED_S + 0.1
+        received,
+        asked_s=REPORTS_VALID_FROM_S - 0.01,
+        now_s=REPORTS_VALID_FROM_S + 0.1,
     )
     assert (inventory.orders, inventory.models) == (2, {"middle"})
     assert inventory.is_fully_known
@@ -187,8 +191,8 @@
         (["small/a1", "small/a2"], {"small/a1", "small/a2"}),
         (["small/a2"], {"small/a2"}),
     ):
-        told = report(orders=4, models=["small"], adapters=listed)
-        inventory.apply_report(told, asked_s=1.0, now_s=1.0)
+        received = report(orders=4, models=["small"], adapters=listed)
+        inventory.apply_report(received, asked_s=1.0, now_s=1.0)
         assert inventory.all_adapters() == placed
         assert inventory.adapters == {"small/a2"}
         assert inventory.used_mb(spec()) == SIZES["small"] + len(placed)
@@ -305,9 +309,9 @@
     @stateful.rule(age=st.integers(0, 3))
     def hear_report(self, age):
         """A report arrives that was made some steps ago."""
-        told = self.snapshots[max(0, len(self.snapshots) - 1 - age)]
+        received = self.snapshots[max(0, len(self.snapshots) - 1 - age)]
         self.now_s += engine_inventory.REPORT_LAG_S
-        self.inventory.apply_report(told, self.now_s, self.now_s)
+        self.inventory.apply_report(received, self.now_s, self.now_s)
 
     @stateful.rule()
     def hear_entry(self):
@@ -345,8 +349,8 @@
     )
     inventory.models.add("small")
     inventory.adapters |= {"small/a1", "small/a2"}
-    told = report(orders=2, models=["small"], arriving=["small/a2"])
-    inventory.apply_report(told, asked_s=1.0, now_s=1.0)
+    received = report(orders=2, models=["small"], arriving=["small/a2"])
+    inventory.apply_report(received, asked_s=1.0, now_s=1.0)
     assert not inventory.is_held_or_loading("small/a1")
     assert inventory.all_adapters() == {"small/a2"}
 
--- a/sesamecross/ops/fleet/engine_state.py
+++ b/sesamecross/ops/fleet/engine_state.py
@@ -15,14 +15,14 @@
 
 # Initial estimates of the time to a first event without prefill, and of the
 # prefill time per prompt token, used until requests have been measured.
-START_FIRST_MS = 60.0
-START_PROMPT_MS = 0.03
+INITIAL_FIRST_EVENT_MS = 60.0
+INITIAL_PREFILL_MS = 0.03
 _TYPICAL_TOKENS = 800.0
 # A response that a target is absent holds this long without newer information.
-ABSENT_S = 1.0
+ABSENT_TTL_S = 1.0
 # The lease holder's information is renewed every 1.5 s. When it is older than
 # this, the engine's own entry is used.
-PLACE_S = 5.0
+PLACEMENT_TTL_S = 5.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -59,8 +59,10 @@
         inventory.
         """
         known = self.place
-        is_same_life = known is not None and known.born_ms == place.born_ms
-        if is_same_life and place.orders != known.orders:
+        is_same_incarnation = (
+            known is not None and known.born_ms == place.born_ms
+        )
+        if is_same_incarnation and place.orders != known.orders:
             self.absent.clear()
         self.place = place
         self.place_s = now_s
@@ -74,7 +76,7 @@
         """
         own = targets_of(entry.models)
         place = self.place
-        is_old = now_s - self.place_s > PLACE_S
+        is_old = now_s - self.place_s > PLACEMENT_TTL_S
         if place is None or place.born_ms != entry.born_ms or is_old:
             return own
         # A target that the holder lists as loading and the engine lists as held
@@ -87,7 +89,7 @@
         if target not in self.targets(entry, now_s):
             return False
         absent_s = self.absent.get(target)
-        return absent_s is None or now_s - absent_s > ABSENT_S
+        return absent_s is None or now_s - absent_s > ABSENT_TTL_S
 
     def ready_at_s(self, target: str) -> float | None:
         """Returns when a target will be loaded, or None if it is unplanned."""
@@ -103,7 +105,7 @@
         line = self.speeds.get(model)
         if line is None:
             line = estimates.LinearFit(
-                START_FIRST_MS, START_PROMPT_MS, _TYPICAL_TOKENS
+                INITIAL_FIRST_EVENT_MS, INITIAL_PREFILL_MS, _TYPICAL_TOKENS
             )
             self.speeds[model] = line
         return line
@@ -111,7 +113,7 @@
 
 def estimate_prefill_s(call: serving.ModelCall) -> float:
     """Returns an initial estimate of a prompt's prefill time."""
-    return call.prompt_tokens * START_PROMPT_MS / 1000
+    return call.prompt_tokens * INITIAL_PREFILL_MS / 1000
 
 
 def targets_of(models: tuple[serving.ResidentModel, ...]) -> set[str]:
--- a/sesamecross/ops/fleet/health.py
+++ b/sesamecross/ops/fleet/health.py
@@ -12,7 +12,7 @@
 # seconds, and one that keeps failing is tried every few seconds.
 HALF_LIFE_S = 4.0
 # Added to the total as successes, so that a single failure has little weight.
-PRIOR = 0.5
+PRIOR_SUCCESSES = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
     @property
     def share(self) -> float:
         """The share of failures, from 0 to 1."""
-        return self.failed / (self.total + PRIOR)
+        return self.failed / (self.total + PRIOR_SUCCESSES)
 
 
 class Health:
@@ -47,8 +47,8 @@
         if not counts.total:
             return counts
         age_s = max(0.0, now_s - self._at_s)
-        faded = 0.5 ** (age_s / HALF_LIFE_S)
-        return Outcomes(counts.failed * faded, counts.total * faded)
+        decay = 0.5 ** (age_s / HALF_LIFE_S)
+        return Outcomes(counts.failed * decay, counts.total * decay)
 
     def record_failure(self, now_s: float, weight: float = 1.0) -> None:
         """Counts a failure; an ordinary one has `weight` 1."""
--- a/sesamecross/ops/fleet/lease.py
+++ b/sesamecross/ops/fleet/lease.py
@@ -22,19 +22,19 @@
 
 # Validity of a renewal. A store outage of some seconds does not change the
 # holder; a holder that has gone silent is replaced after this and the gap.
-LEASE_S = 4.0
-RENEW_S = 1.2
+LEASE_DURATION_S = 4.0
+RENEW_INTERVAL_S = 1.2
 # The holder stops this long before others regard its lease as expired: an order
 # takes some time to arrive.
-SAFETY_S = 0.5
+EXPIRY_MARGIN_S = 0.5
 # Delay per rank of a candidate, so that not all query the store at once.
-RANK_S = 0.4
+RANK_DELAY_S = 0.4
 # Time for the previous holder's machine to restart its process after it died.
 # It costs nothing, as the gap has to be waited out anyway.
-RETURN_S = 2.0
+RESTART_TIMEOUT_S = 2.0
 # Reads of the record are at least a quarter of this apart. The store is not
 # read while other instances hear the holder.
-LOOK_S = 1.0
+READ_SPACING_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
     """Nothing to do now."""
 
 
-Step = ReadLease | WriteLease | Idle
+Action = ReadLease | WriteLease | Idle
 
 
 class LeaseStateMachine:
@@ -90,17 +90,17 @@
         "_record",
         "_end",
         "_seen_s",
-        "_looked_s",
-        "_must_look",
-        "_gone",
-        "_gone_s",
+        "_read_sent_s",
+        "_must_read",
+        "_exited_holder",
+        "_exited_s",
         "_sent_s",
-        "_unanswered_s",
-        "_take_first_s",
+        "_unanswered_since_s",
+        "_first_order_after_take_s",
         "_fence",
-        "_valid_s",
+        "_valid_until_s",
         "_first_order_s",
-        "_is_over",
+        "_is_released",
     )
 
     def __init__(self, name: str, incarnation: int, gap_s: float, now_s: float):
@@ -111,23 +111,23 @@
         self._record: Record | None = None
         self._end = 0
         self._seen_s = 0.0
-        self._looked_s = now_s - LOOK_S
-        self._must_look = False
+        self._read_sent_s = now_s - READ_SPACING_S
+        self._must_read = False
         # The holder whose process is known to have ended, and since when.
-        self._gone: tuple[str, int] | None = None
-        self._gone_s = 0.0
+        self._exited_holder: tuple[str, int] | None = None
+        self._exited_s = 0.0
         self._sent_s = 0.0
         # When the oldest unanswered write was sent. An own record that is read
         # later may come from that write, so it is valid no longer than that.
-        self._unanswered_s: float | None = None
-        self._take_first_s = 0.0
+        self._unanswered_since_s: float | None = None
+        self._first_order_after_take_s = 0.0
         self._fence: int | None = None
-        self._valid_s = 0.0
+        self._valid_until_s = 0.0
         self._first_order_s = 0.0
         # Released: this incarnation does not take the lease again. Its process
         # waits for the store's answer and ends; a lease taken meanwhile would
         # leave the others with a holder that no longer exists.
-        self._is_over = False
+        self._is_released = False
 
     @property
     def record(self) -> Record | None:
@@ -141,7 +141,7 @@
 
     def holds(self, now_s: float) -> bool:
         """Whether this instance holds the lease, by its own clock."""
-        return self._fence is not None and now_s < self._valid_s
+        return self._fence is not None and now_s < self._valid_until_s
 
     def may_order(self, now_s: float) -> bool:
         """Whether an order may be sent now."""
@@ -149,11 +149,13 @@
 
     def left_s(self, now_s: float) -> float:
         """Returns how long orders may be sent without another renewal."""
-        return max(0.0, self._valid_s - now_s)
+        return max(0.0, self._valid_until_s - now_s)
 
     # -- next action ---------------------------------------------------
 
-    def next_action(self, now_s: float, rank: int, holder_heard: bool) -> Step:
+    def next_action(
+        self, now_s: float, rank: int, holder_heard: bool
+    ) -> Action:
         """Returns what to do now.
 
         Args:
@@ -162,67 +164,67 @@
           holder_heard: Whether other instances hear the holder, and it reports
             that its lease is valid.
         """
-        if self._is_over:
+        if self._is_released:
             return Idle()
-        if self._fence is not None and now_s >= self._valid_s:
+        if self._fence is not None and now_s >= self._valid_until_s:
             # Not renewed in time: another instance may hold it by now.
             self._fence = None
-            self._must_look = True
-        if self._must_look:
-            return self._look(now_s)
+            self._must_read = True
+        if self._must_read:
+            return self._read_if_due(now_s)
         if self._fence is not None:
-            if now_s - self._sent_s < RENEW_S:
+            if now_s - self._sent_s < RENEW_INTERVAL_S:
                 return Idle()
             return self._write(now_s)
-        if holder_heard and not self._holder_is_gone():
+        if holder_heard and not self._has_holder_exited():
             return Idle()
         if self._record is None:
-            return self._look(now_s)
-        free_s = self._free_s()
+            return self._read_if_due(now_s)
+        available_s = self._available_s()
         if self._record.holder != self._name:
-            free_s += rank * RANK_S
-        if now_s < free_s:
+            available_s += rank * RANK_DELAY_S
+        if now_s < available_s:
             return Idle()
-        if self._looked_s < free_s:
+        if self._read_sent_s < available_s:
             # The record read last may have been renewed since.
-            return self._look(now_s)
-        return self._take(now_s)
+            return self._read_if_due(now_s)
+        return self._acquire(now_s)
 
-    def _look(self, now_s: float) -> Step:
-        if now_s - self._looked_s < LOOK_S / 4:
+    def _read_if_due(self, now_s: float) -> Action:
+        if now_s - self._read_sent_s < READ_SPACING_S / 4:
             return Idle()
-        self._looked_s = now_s
+        self._read_sent_s = now_s
         return ReadLease()
 
-    def _take(self, now_s: float) -> WriteLease:
-        self._take_first_s = max(now_s, self._gap_end_s())
+    def _acquire(self, now_s: float) -> WriteLease:
+        self._first_order_after_take_s = max(now_s, self._gap_end_s())
         return self._write(now_s)
 
     def _write(self, now_s: float) -> WriteLease:
         self._sent_s = now_s
-        if self._unanswered_s is None:
-            self._unanswered_s = now_s
+        if self._unanswered_since_s is None:
+            self._unanswered_since_s = now_s
         fence = self._end if self._fence is None else self._fence
         return WriteLease(self._end, fence)
 
-    def _holder_is_gone(self) -> bool:
+    def _has_holder_exited(self) -> bool:
         record = self._record
-        if record is None or self._gone is None:
+        if record is None or self._exited_holder is None:
             return False
-        return self._gone == (record.holder, record.incarnation)
+        return self._exited_holder == (record.holder, record.incarnation)
 
     def _is_free(self) -> bool:
         """Whether no other machine's orders can be in flight."""
         record = self._record
         return record.is_released or record.holder in ("", self._name)
 
-    def _free_s(self) -> float:
+    def _available_s(self) -> float:
         """Returns when this instance may first take the lease."""
         if self._is_free():
             return self._seen_s
-        if self._holder_is_gone():
-            return self._gone_s + RETURN_S
-        return self._seen_s + LEASE_S
+        if self._has_holder_exited():
+            return self._exited_s + RESTART_TIMEOUT_S
+        return self._seen_s + LEASE_DURATION_S
 
     def _gap_end_s(self) -> float:
         """Returns when the first order may be sent after a change of holder."""
@@ -230,9 +232,9 @@
             return self._seen_s
         if self._record.is_released:
             return self._seen_s + self.gap_s
-        if self._holder_is_gone():
-            return self._gone_s + self.gap_s
-        return self._seen_s + LEASE_S + self.gap_s
+        if self._has_holder_exited():
+            return self._exited_s + self.gap_s
+        return self._seen_s + LEASE_DURATION_S + self.gap_s
 
     # -- events --------------------------------------------------------
 
@@ -244,9 +246,9 @@
           end: End offset of the topic.
           now_s: When the store's answer arrived, not when the read was sent.
         """
-        if self._is_over:
+        if self._is_released:
             return
-        self._must_look = False
+        self._must_read = False
         if record is None:
             record = Record("", 0, -1, -1, True)
         self._end = max(self._end, end)
@@ -261,45 +263,45 @@
         )
         if not is_mine or record.is_released:
             self._fence = None
-        elif self._unanswered_s is not None:
+        elif self._unanswered_since_s is not None:
             # This instance's own write, whose answer was lost.
-            self._wrote(record, self._unanswered_s)
-        self._unanswered_s = None
+            self._apply_write(record, self._unanswered_since_s)
+        self._unanswered_since_s = None
 
     def written(self, offset: int) -> None:
         """Records that the last write succeeded, with the record's offset."""
-        if self._is_over:
+        if self._is_released:
             return
         fence = offset if self._fence is None else self._fence
         self._end = offset + 1
         record = Record(self._name, self._incarnation, offset, fence, False)
         self._record = record
-        self._unanswered_s = None
-        self._wrote(record, self._sent_s)
+        self._unanswered_since_s = None
+        self._apply_write(record, self._sent_s)
 
     def not_written(self) -> None:
         """Records the store's answer that the last write was not done."""
-        if self._unanswered_s == self._sent_s:
-            self._unanswered_s = None
+        if self._unanswered_since_s == self._sent_s:
+            self._unanswered_since_s = None
 
-    def _wrote(self, record: Record, sent_s: float) -> None:
+    def _apply_write(self, record: Record, sent_s: float) -> None:
         if self._fence != record.fence:
             self._fence = record.fence
-            self._first_order_s = self._take_first_s
-        self._valid_s = sent_s + LEASE_S - SAFETY_S
+            self._first_order_s = self._first_order_after_take_s
+        self._valid_until_s = sent_s + LEASE_DURATION_S - EXPIRY_MARGIN_S
 
     def conflict(self) -> None:
         """Records that the write was refused as the topic had changed."""
-        self._must_look = True
-        self._looked_s -= LOOK_S
+        self._must_read = True
+        self._read_sent_s -= READ_SPACING_S
 
     def holder_exited(
         self, holder: str, incarnation: int, now_s: float
     ) -> None:
         """Records proof that an incarnation of an instance has ended."""
-        if self._gone != (holder, incarnation):
-            self._gone = (holder, incarnation)
-            self._gone_s = now_s
+        if self._exited_holder != (holder, incarnation):
+            self._exited_holder = (holder, incarnation)
+            self._exited_s = now_s
 
     def released(self, offset: int) -> int:
         """Gives up the lease; no orders and no other writes follow.
@@ -308,10 +310,10 @@
           The known end offset of the topic: the release is written only if the
           topic ends there.
         """
-        self._is_over = True
+        self._is_released = True
         self._record = Record(
             self._name, self._incarnation, offset, self.fence, True
         )
         self._fence = None
-        self._valid_s = 0.0
+        self._valid_until_s = 0.0
         return self._end
--- a/sesamecross/ops/fleet/lease_test.py
+++ b/sesamecross/ops/fleet/lease_test.py
@@ -140,7 +140,7 @@
     fence = machine.fence
     now_s = 0.6
     for number in range(1, 5):
-        now_s += lease.RENEW_S + 0.01
+        now_s += lease.RENEW_INTERVAL_S + 0.01
         write = machine.next_action(now_s, 0, True)
         assert isinstance(write, lease.WriteLease)
         machine.written(write.at)
@@ -158,4 +158,4 @@
         write = machine.next_action(0.6, 0, False)
     machine.written(write.at)
     assert machine.holds(1.0)
-    assert not machine.may_order(1.0 + lease.LEASE_S)
+    assert not machine.may_order(1.0 + lease.LEASE_DURATION_S)
--- a/sesamecross/ops/fleet/load_budget.py
+++ b/sesamecross/ops/fleet/load_budget.py
@@ -8,21 +8,21 @@
 from collections import deque
 
 # An order without an answer may start its load up to this much later.
-LATE_S = 12.0
+UNANSWERED_TTL_S = 12.0
 # Loads that may start at once beyond the rate. The bound allows three, and the
 # next lease holder, which does not know of this one's last loads, needs as many
 # again.
-BURST = 3.0
+BURST_LOADS = 3.0
 # Limit on the loads assumed for the previous holder. No store starts as many in
 # a window; a rate that implies it is a mistake in the configuration and must
 # not take memory for each load.
-BEFORE_MOST = 10_000
+MAX_PRIOR_LOADS = 10_000
 
 
 class LoadBudget:
     """The loads started by one lease holder."""
 
-    __slots__ = ("_window_s", "_most", "_begun", "_reserved")
+    __slots__ = ("_window_s", "_max_loads", "_started", "_reserved")
 
     def __init__(
         self, rate: float, window_s: float, overage: float, now_s: float
@@ -30,26 +30,26 @@
         self.set_limits(rate, window_s, overage)
         # The previous holder may have started as many loads as the rate allows
         # in a window, of which the lease gap has passed.
-        before = int(max(0.0, min(rate * window_s / 2, BEFORE_MOST)))
-        self._begun: deque[float] = deque([now_s] * before)
+        prior = int(max(0.0, min(rate * window_s / 2, MAX_PRIOR_LOADS)))
+        self._started: deque[float] = deque([now_s] * prior)
         self._reserved: deque[float] = deque()
 
     def set_limits(self, rate: float, window_s: float, overage: float) -> None:
         """Changes the limits; loads that have started stay counted."""
         self._window_s = window_s
-        self._most = rate * window_s * overage + BURST - 1.0
+        self._max_loads = rate * window_s * overage + BURST_LOADS - 1.0
 
     def allows(self, now_s: float) -> bool:
         """Whether one more load may start now."""
-        while self._begun and now_s - self._begun[0] >= self._window_s:
-            self._begun.popleft()
-        while self._reserved and now_s - self._reserved[0] >= LATE_S:
+        while self._started and now_s - self._started[0] >= self._window_s:
+            self._started.popleft()
+        while self._reserved and now_s - self._reserved[0] >= UNANSWERED_TTL_S:
             self._reserved.popleft()
-        return len(self._begun) + len(self._reserved) + 1 <= self._most
+        return len(self._started) + len(self._reserved) + 1 <= self._max_loads
 
     def load_started(self, now_s: float) -> None:
         """Counts a load."""
-        self._begun.append(now_s)
+        self._started.append(now_s)
 
     def load_unanswered(self, now_s: float) -> None:
         """Counts a load that may start at any time from now on."""
--- a/sesamecross/ops/fleet/pacer.py
+++ b/sesamecross/ops/fleet/pacer.py
@@ -36,35 +36,35 @@
 
 # Prompt tokens per second admitted to an engine: two thirds of what the engines
 # of the first deployments prefill when they do nothing else.
-READ_PER_S = 25_000.0
+PREFILL_TOKENS_PER_S = 25_000.0
 # Tokens that may be sent at once: an ordinary prompt.
 BURST_TOKENS = 1_500.0
 # Tokens that may be granted and not yet prefilled: 0.2 s of prefill. This limit
 # takes effect on engines slower than the rate.
-UNREAD_TOKENS = 5_000
+MAX_PENDING_TOKENS = 5_000
 # A prompt not reported as prefilled by then no longer counts: its sender is
 # gone, or the report was lost.
-FORGET_S = 1.5
+PREFILL_TIMEOUT_S = 1.5
 # Requests that wait longer are dropped; their senders have asked elsewhere.
-WAIT_MOST_S = 4.0
-MIN_LOOK_S = 0.005
+MAX_WAIT_S = 4.0
+MIN_CHECK_INTERVAL_S = 0.005
 # Maximum number of streams at an engine, see above: as many as bring a third of
 # its prefill rate in prompts, at 290 output and 650 prompt tokens each.
-STREAMS_MOST = 46
+MAX_STREAMS = 46
 # Smaller batches are filled to this share: of 32 slots, 24 in use made no
 # stream later than 8, and beyond the last slot requests queue inside the
 # engine.
-BATCH_SHARE = 0.92
+MAX_BATCH_SHARE = 0.92
 # Minimum rate assumed for a full batch, in tokens per second: streams still end
 # from time to time, which admits an ordinary prompt per second.
-FULL_LEAST_PER_S = 1_000.0
+FULL_MIN_TOKENS_PER_S = 1_000.0
 # A granted stream is counted separately until the reports include it.
-TOLD_S = 0.3
+REPORT_DELAY_S = 0.3
 # Interval of checks on a full batch, in which a stream ends every 50 ms.
-FULL_LOOK_S = 0.03
+FULL_CHECK_INTERVAL_S = 0.03
 # Time constant of the rate of requested tokens: a single burst makes some
 # requests late but is prefilled; more than a second of it is overload.
-ASKED_S = 3.0
+RATE_TIME_CONSTANT_S = 3.0
 # When a refused caller should retry: bursts last 3 to 4 s, and another engine
 # loads a busy model in 0.5 to 3 s.
 OVERLOAD_RETRY_AFTER_S = 2.5
@@ -81,7 +81,7 @@
     asked_s: float
 
     @property
-    def counted(self) -> float:
+    def charged_tokens(self) -> float:
         """Tokens as counted against the rate.
 
         A prompt counts as no larger than a burst: otherwise the largest prompts
@@ -110,33 +110,33 @@
     """Prompts queued for and sent to one engine. Deterministic."""
 
     __slots__ = (
-        "_reading",
+        "_prefilling",
         "_waiting",
-        "_unread",
+        "_pending_tokens",
         "_level",
-        "_asked",
-        "_granted",
+        "_requested_rate",
+        "_granted_rate",
         "_is_full",
         "_at_s",
     )
 
     def __init__(self) -> None:
-        self._reading: dict[Key, tuple[int, float]] = {}
+        self._prefilling: dict[Key, tuple[int, float]] = {}
         self._waiting: dict[Key, _Ask] = {}
-        self._unread = 0
+        self._pending_tokens = 0
         # Tokens granted ahead of the rate.
         self._level = 0.0
         # Tokens requested per second.
-        self._asked = 0.0
+        self._requested_rate = 0.0
         # Tokens granted per second: the capacity of a full batch.
-        self._granted = 0.0
+        self._granted_rate = 0.0
         self._is_full = False
         self._at_s = 0.0
 
     @property
     def is_idle(self) -> bool:
         """Whether no prompts are waiting or being prefilled."""
-        return not self._waiting and not self._reading
+        return not self._waiting and not self._prefilling
 
     def ask(
         self,
@@ -160,21 +160,21 @@
           batch: How full the engine's batch is.
           now_s: Monotonic time.
         """
-        if key in self._reading:
+        if key in self._prefilling:
             return Decisions((key,), ())
         if key not in self._waiting:
-            self._pass_time(now_s)
+            self._decay(now_s)
             ask = _Ask(key, tokens, due_s, until_s, now_s)
             self._waiting[key] = ask
-            self._asked += ask.counted / ASKED_S
+            self._requested_rate += ask.charged_tokens / RATE_TIME_CONSTANT_S
         return self.grant(batch, now_s)
 
     def prompt_read(self, key: Key) -> None:
         """Records that a prompt was prefilled, or will not be sent."""
         self._waiting.pop(key, None)
-        known = self._reading.pop(key, None)
+        known = self._prefilling.pop(key, None)
         if known is not None:
-            self._unread -= known[0]
+            self._pending_tokens -= known[0]
 
     def waiting(self, now_s: float) -> tuple[Key, ...]:
         """Returns the waiting requests in the order of their turns."""
@@ -188,80 +188,87 @@
 
     def grant(self, batch: Batch, now_s: float) -> Decisions:
         """Returns the requests that may be sent now, and those refused."""
-        self._forget(now_s)
-        self._pass_time(now_s)
+        self._expire(now_s)
+        self._decay(now_s)
         granted = []
-        places = self._places(batch, now_s)
-        order = self._in_order(now_s)
-        for ask in order:
-            if len(granted) >= places or not self._has_room(ask):
+        free_slots = self._free_slots(batch, now_s)
+        queue = self._in_order(now_s)
+        for ask in queue:
+            if len(granted) >= free_slots or not self._has_room(ask):
                 break
             del self._waiting[ask.key]
-            self._reading[ask.key] = (ask.tokens, now_s)
-            self._unread += ask.tokens
+            self._prefilling[ask.key] = (ask.tokens, now_s)
+            self._pending_tokens += ask.tokens
             self._level += ask.tokens
-            self._granted += ask.counted / ASKED_S
+            self._granted_rate += ask.charged_tokens / RATE_TIME_CONSTANT_S
             granted.append(ask.key)
-        self._is_full = len(granted) >= places
-        refused = self._hopeless(order[len(granted) :], now_s)
+        self._is_full = len(granted) >= free_slots
+        refused = self._too_late(queue[len(granted) :], now_s)
         for key in refused:
             del self._waiting[key]
         return Decisions(tuple(granted), tuple(refused))
 
-    def _hopeless(self, order: list[_Ask], now_s: float) -> list[Key]:
+    def _too_late(self, queue: list[_Ask], now_s: float) -> list[Key]:
         """Returns the waiting requests, given in order, whose turn is too late.
 
         A request that will be late yields to all future ones that will not be,
         so it gets only the part of the rate that those leave unused.
         """
-        rate = READ_PER_S
+        rate = PREFILL_TOKENS_PER_S
         if self._is_full:
-            rate = max(FULL_LEAST_PER_S, min(rate, self._granted))
-        spare = max(0.0, rate - self._asked)
+            rate = max(FULL_MIN_TOKENS_PER_S, min(rate, self._granted_rate))
+        spare = max(0.0, rate - self._requested_rate)
         ahead = self._level
         refused = []
-        for ask in order:
+        for ask in queue:
             starts_s = now_s + ahead / rate
             if starts_s > ask.due_s:
                 starts_s = now_s + ahead / spare if spare else math.inf
             if starts_s > ask.until_s:
                 refused.append(ask.key)
             else:
-                ahead += ask.counted
+                ahead += ask.charged_tokens
         return refused
 
-    def _pass_time(self, now_s: float) -> None:
-        passed_s = max(0.0, now_s - self._at_s)
-        self._level = max(0.0, self._level - passed_s * READ_PER_S)
-        faded = math.exp(-passed_s / ASKED_S)
-        self._asked *= faded
-        self._granted *= faded
+    def _decay(self, now_s: float) -> None:
+        elapsed_s = max(0.0, now_s - self._at_s)
+        self._level = max(0.0, self._level - elapsed_s * PREFILL_TOKENS_PER_S)
+        decay = math.exp(-elapsed_s / RATE_TIME_CONSTANT_S)
+        self._requested_rate *= decay
+        self._granted_rate *= decay
         self._at_s = now_s
 
-    def _places(self, batch: Batch, now_s: float) -> int:
+    def _free_slots(self, batch: Batch, now_s: float) -> int:
         """Returns how many more streams the batch may take now."""
-        untold = sum(
-            1 for _, at_s in self._reading.values() if now_s - at_s < TOLD_S
+        unreported = sum(
+            1
+            for _, at_s in self._prefilling.values()
+            if now_s - at_s < REPORT_DELAY_S
         )
-        most = max(1, min(STREAMS_MOST, int(batch.slots * BATCH_SHARE)))
-        return max(0, most - int(batch.running) - untold)
+        limit = max(1, min(MAX_STREAMS, int(batch.slots * MAX_BATCH_SHARE)))
+        return max(0, limit - int(batch.running) - unreported)
 
     def _has_room(self, ask: _Ask) -> bool:
-        if self._reading and self._unread + ask.counted > UNREAD_TOKENS:
+        if (
+            self._prefilling
+            and self._pending_tokens + ask.charged_tokens > MAX_PENDING_TOKENS
+        ):
             return False
-        return self._level + ask.counted <= BURST_TOKENS
+        return self._level + ask.charged_tokens <= BURST_TOKENS
 
     def next_check_s(self, now_s: float) -> float | None:
         """Returns when to check again, or None if no requests wait."""
         if not self._waiting:
             return None
-        least_s = FULL_LOOK_S if self._is_full else MIN_LOOK_S
-        return now_s + max(least_s, self._level / READ_PER_S)
+        interval_s = (
+            FULL_CHECK_INTERVAL_S if self._is_full else MIN_CHECK_INTERVAL_S
+        )
+        return now_s + max(interval_s, self._level / PREFILL_TOKENS_PER_S)
 
-    def _forget(self, now_s: float) -> None:
-        for key, (_, at_s) in list(self._reading.items()):
-            if now_s - at_s > FORGET_S:
+    def _expire(self, now_s: float) -> None:
+        for key, (_, at_s) in list(self._prefilling.items()):
+            if now_s - at_s > PREFILL_TIMEOUT_S:
                 self.prompt_read(key)
         for key, ask in list(self._waiting.items()):
-            if now_s - ask.asked_s > WAIT_MOST_S:
+            if now_s - ask.asked_s > MAX_WAIT_S:
                 del self._waiting[key]
--- a/sesamecross/ops/fleet/pacer_test.py
+++ b/sesamecross/ops/fleet/pacer_test.py
@@ -68,7 +68,9 @@
     assert not refused
     assert len(granted) == 10
     took_s = max(granted.values())
-    assert took_s == pytest.approx(9 * BURST / pacer_lib.READ_PER_S, rel=0.25)
+    assert took_s == pytest.approx(
+        9 * BURST / pacer_lib.PREFILL_TOKENS_PER_S, rel=0.25
+    )
 
 
 def test_earliest_due_goes_first_and_late_ones_go_last():
@@ -97,14 +99,14 @@
     behind all that were not late, of which there were always more, and was
     refused only when its caller was about to leave.
     """
-    every_s = BURST / pacer_lib.READ_PER_S / 2
+    every_s = BURST / pacer_lib.PREFILL_TOKENS_PER_S / 2
     asks = [(n * every_s, BURST, 0.4, 1.7) for n in range(400)]
     granted, refused = run(pacer_lib.Pacer(), asks, until_s=400 * every_s)
     held_s = [refused[n] - asks[n][0] for n in refused]
     assert len(refused) > 120
     assert max(held_s) < 0.6
     # No refusal is unnecessary: the engine prefills at its full rate.
-    capacity = 400 * every_s * pacer_lib.READ_PER_S / BURST
+    capacity = 400 * every_s * pacer_lib.PREFILL_TOKENS_PER_S / BURST
     assert len(granted) > 0.9 * capacity
     on_time = [n for n in granted if granted[n] - asks[n][0] <= 0.4]
     assert len(on_time) > 0.8 * len(granted)
@@ -112,7 +114,7 @@
 
 def test_a_short_burst_makes_some_late_and_refuses_none():
     """A burst of 1 s of prefill: the last requests are late but served."""
-    count = int(pacer_lib.READ_PER_S / BURST)
+    count = int(pacer_lib.PREFILL_TOKENS_PER_S / BURST)
     asks = [(0.0, BURST, 0.4, 1.7)] * count
     granted, refused = run(pacer_lib.Pacer(), asks, until_s=3.0)
     assert not refused
@@ -130,12 +132,12 @@
     granted, refused = run(
         pacer_lib.Pacer(), asks, until_s=12.0, step_s=0.01, runs_s=2.0
     )
-    most = pacer_lib.STREAMS_MOST
+    limit = pacer_lib.MAX_STREAMS
     for at_s in granted.values():
         beside = [one for one in granted.values() if at_s - 2.0 < one <= at_s]
-        assert len(beside) <= most + 1
+        assert len(beside) <= limit + 1
     # It stays full, and requests without a slot in it are refused early.
-    assert len(granted) > 0.85 * most * 12.0 / 2.05
+    assert len(granted) > 0.85 * limit * 12.0 / 2.05
     late_s = [refused[n] - asks[n][0] for n in refused if n > 200]
     assert late_s
     assert max(late_s) < 0.6
--- a/sesamecross/ops/fleet/placement_draft.py
+++ b/sesamecross/ops/fleet/placement_draft.py
@@ -11,27 +11,27 @@
 
 # Above this load, an engine's streams are interrupted by the prefill of others
 # and its batch is nearly full, so requests beyond it are late.
-FULL_SHARE = 0.7
-# Value of a redundant place, as a share of the model's requests: an engine can
-# fail, and requests split over two engines are served sooner.
+FULL_LOAD = 0.7
+# Value of a redundant replica, as a share of the model's requests: an engine
+# can fail, and requests split over two engines are served sooner.
 SPARE_SHARE = 0.1
-# Minimum time that a loaded model stays: two models that alternate in one place
+# Minimum time that a loaded model stays: two models that alternate on an engine
 # serve no requests.
-STAY_S = 3.0
+MIN_STAY_S = 3.0
 # Typical duration of demand for a model, over which gains and losses count.
 HORIZON_S = 8.0
 # Cost of loading a model elsewhere first, in requests per second.
 MOVE_LOSS = 0.3
 # Typical remaining time of a request to a model that is being evicted.
-RUNNING_S = 1.5
+RUNNING_REQUEST_S = 1.5
 # Duration of the unload of a model without requests.
 UNLOAD_S = 0.1
 # Value of a model without demand in room that is otherwise unused, in requests
 # per second: any of the many models may be requested next, and without this
 # half of them would be held nowhere.
 IDLE_VALUE = 0.02
-# Value of its place if it has no, one, or more other places. A model that was
-# given several places is probably a busy one.
+# Value of such a model's replica if it has no, one, or more others. A model
+# that was given several replicas is probably a busy one.
 IDLE_LOSSES = (IDLE_VALUE, 2 * IDLE_VALUE, 0.0)
 
 
@@ -46,13 +46,13 @@
         "inputs",
         "engines",
         "held",
-        "places",
-        "free",
+        "replicas",
+        "free_mb",
         "load",
         "_running",
         "_losses",
         "_sizes",
-        "_roomy",
+        "_fastest_with_room",
     )
 
     def __init__(self, inputs: data.Inputs, target: data.PlacementTarget):
@@ -64,12 +64,12 @@
         }
         # Target models by engine, and target engines by model.
         self.held: dict[str, set[str]] = {name: set() for name in self.engines}
-        self.places: dict[str, set[str]] = {
+        self.replicas: dict[str, set[str]] = {
             name: set() for name in inputs.spec.models
         }
         # MB left beside target models and adapters, and the load from the
         # target models, by engine.
-        self.free = {
+        self.free_mb = {
             name: inputs.spec.weights_mb - _adapters_mb(inputs, engine)
             for name, engine in self.engines.items()
         }
@@ -79,64 +79,64 @@
         self._sizes = {
             name: model.weights_mb for name, model in inputs.spec.models.items()
         }
-        self._roomy: dict[str, list[tuple[float, str]]] = {}
+        self._fastest_with_room: dict[str, list[tuple[float, str]]] = {}
         for instance_id, engine in self.engines.items():
-            before = target.get(instance_id)
-            if before is None:
-                before = engine.inventory.all_models()
-            for model in sorted(before):
-                if model in self.places and self.fits(instance_id, model):
+            initial = target.get(instance_id)
+            if initial is None:
+                initial = engine.inventory.all_models()
+            for model in sorted(initial):
+                if model in self.replicas and self.fits(instance_id, model):
                     self.add(instance_id, model)
 
     def fits(self, instance_id: str, name: str) -> bool:
         """Whether there is room for a model beside the target models."""
-        return self.free[instance_id] >= self._sizes[name]
+        return self.free_mb[instance_id] >= self._sizes[name]
 
-    def elsewhere_s(self, instance_id: str, name: str) -> float | None:
+    def load_elsewhere_s(self, instance_id: str, name: str) -> float | None:
         """Returns the load time at the fastest other engine with room, or None.
 
         None means that no other engine has room.
         """
-        if name not in self._roomy:
+        if name not in self._fastest_with_room:
             size = self._sizes[name]
             times = [
                 (self.inputs.load_time(self.engines[other], name)[0], other)
-                for other, free in self.free.items()
-                if free >= size
+                for other, free_mb in self.free_mb.items()
+                if free_mb >= size
             ]
             # The second one is used if the fastest is the engine itself.
-            self._roomy[name] = sorted(times)[:2]
-        for time_s, other in self._roomy[name]:
+            self._fastest_with_room[name] = sorted(times)[:2]
+        for time_s, other in self._fastest_with_room[name]:
             if other != instance_id:
                 return time_s
         return None
 
     def add(self, instance_id: str, name: str) -> None:
         """Adds a model to an engine."""
-        self._spread(name, -1.0)
+        self._apply_load(name, -1.0)
         self.held[instance_id].add(name)
-        self.places[name].add(instance_id)
-        self._spread(name, 1.0)
-        self.free[instance_id] -= self.inputs.size(name)
+        self.replicas[name].add(instance_id)
+        self._apply_load(name, 1.0)
+        self.free_mb[instance_id] -= self.inputs.size(name)
 
     def remove(self, instance_id: str, name: str) -> None:
         """Removes a model from an engine."""
-        self._spread(name, -1.0)
+        self._apply_load(name, -1.0)
         self.held[instance_id].discard(name)
-        self.places[name].discard(instance_id)
-        self._spread(name, 1.0)
-        self.free[instance_id] += self.inputs.size(name)
+        self.replicas[name].discard(instance_id)
+        self._apply_load(name, 1.0)
+        self.free_mb[instance_id] += self.inputs.size(name)
 
-    def _spread(self, name: str, sign: float) -> None:
+    def _apply_load(self, name: str, sign: float) -> None:
         """Adds a model's load to its engines, or subtracts it."""
         self._losses.clear()
-        self._roomy.clear()
-        places = self.places[name]
-        for instance_id in places:
-            share = self.inputs.demand_for(name).load / len(places)
+        self._fastest_with_room.clear()
+        replicas = self.replicas[name]
+        for instance_id in replicas:
+            share = self.inputs.demand_for(name).load / len(replicas)
             self.load[instance_id] += sign * share
 
-    def answering(self, name: str) -> list[str]:
+    def engines_holding(self, name: str) -> list[str]:
         """Returns the engines that hold a model now."""
         return [
             engine.name
@@ -144,20 +144,27 @@
             if name in engine.inventory.models
         ]
 
-    def moves_s(self, instance_id: str, name: str, worth: float) -> float:
+    def move_first_s(
+        self, instance_id: str, name: str, room_value: float
+    ) -> float:
         """Returns how long a model to be evicted has to load elsewhere first.
 
         Args:
           instance_id: The engine that evicts it.
           name: The model to evict.
-          worth: Requests per second that depend on its room.
+          room_value: Requests per second that depend on its room.
         """
-        planned = self.places[name]
-        answers = any(one in planned for one in self.answering(name))
-        if not planned or not self.inputs.must_move_first(name, answers, worth):
+        planned = self.replicas[name]
+        is_held_elsewhere = any(
+            other_id in planned for other_id in self.engines_holding(name)
+        )
+        if not planned or not self.inputs.must_move_first(
+            name, is_held_elsewhere, room_value
+        ):
             return 0.0
         return min(
-            self.inputs.load_time(self.engines[one], name)[0] for one in planned
+            self.inputs.load_time(self.engines[other_id], name)[0]
+            for other_id in planned
         )
 
     def running(self, instance_id: str, name: str) -> int:
@@ -189,7 +196,7 @@
     return total
 
 
-def waits_for(draft: Draft, engine: data.Engine, name: str) -> float:
+def load_delay_s(draft: Draft, engine: data.Engine, name: str) -> float:
     """Returns how long an engine needs until a load can start."""
     inputs = draft.inputs
     inventory = engine.inventory
@@ -200,25 +207,25 @@
         wait_s += 1.0
     if missing_mb <= 0:
         return wait_s
-    worth = 0.0
-    if not draft.answering(name):
-        worth = inputs.demand_for(name).value
-    leaving = [
-        (draft.moves_s(engine.name, one, worth), requests, one)
-        for requests, one in (
-            (draft.running(engine.name, one), one)
-            for one in inventory.models
-            if one not in draft.held[engine.name]
+    room_value = 0.0
+    if not draft.engines_holding(name):
+        room_value = inputs.demand_for(name).value
+    evicted = [
+        (draft.move_first_s(engine.name, victim, room_value), requests, victim)
+        for requests, victim in (
+            (draft.running(engine.name, victim), victim)
+            for victim in inventory.models
+            if victim not in draft.held[engine.name]
         )
     ]
-    for moves_s, requests, one in sorted(leaving):
+    for move_first_s, requests, victim in sorted(evicted):
         if missing_mb <= 0:
             break
-        missing_mb -= inputs.size(one)
-        wait_s += UNLOAD_S + moves_s
+        missing_mb -= inputs.size(victim)
+        wait_s += UNLOAD_S + move_first_s
         if requests:
             # The time until the last of them ends.
-            wait_s += RUNNING_S * (1.0 + math.log(requests))
+            wait_s += RUNNING_REQUEST_S * (1.0 + math.log(requests))
     return wait_s
 
 
@@ -226,25 +233,27 @@
     """Returns the loss in requests per second if a model is evicted.
 
     None means that it must stay: it is loading or was loaded recently, or
-    requests wait for it and it has no other place.
+    requests wait for it and it has no other replica.
     """
     inputs = draft.inputs
     inventory = draft.engines[instance_id].inventory
-    loaded_s = inventory.loaded_s.get(name, -STAY_S)
-    if name in inventory.arriving or inputs.now_s - loaded_s < STAY_S:
+    loaded_s = inventory.loaded_s.get(name, -MIN_STAY_S)
+    if name in inventory.arriving or inputs.now_s - loaded_s < MIN_STAY_S:
         return None
     demand = inputs.demand_for(name)
-    others = [one for one in draft.places[name] if one != instance_id]
+    others = [
+        other_id for other_id in draft.replicas[name] if other_id != instance_id
+    ]
     if not demand.is_in_demand:
         return IDLE_LOSSES[min(len(others), len(IDLE_LOSSES) - 1)]
     if others:
         share = demand.load / len(others)
-        busy = min(draft.load[one] for one in others) + share
-        return demand.rate * max(0.0, 1.0 - FULL_SHARE / max(busy, 1e-9))
+        busy = min(draft.load[other_id] for other_id in others) + share
+        return demand.rate * max(0.0, 1.0 - FULL_LOAD / max(busy, 1e-9))
     if demand.waiting:
         return None
-    elsewhere_s = draft.elsewhere_s(instance_id, name)
-    if elsewhere_s is not None:
+    load_elsewhere_s = draft.load_elsewhere_s(instance_id, name)
+    if load_elsewhere_s is not None:
         # It is loaded there first, and the incoming model waits for that load.
-        return MOVE_LOSS + demand.value * elsewhere_s / HORIZON_S
+        return MOVE_LOSS + demand.value * load_elsewhere_s / HORIZON_S
     return demand.value
--- a/sesamecross/ops/fleet/placement_steps.py
+++ b/sesamecross/ops/fleet/placement_steps.py
@@ -17,36 +17,36 @@
 
 # Time until all instances have stopped sending to a withdrawn model: messages
 # between instances arrive within this.
-SETTLE_S = 0.3
+WITHDRAW_SETTLE_S = 0.3
 # An adapter loads in some milliseconds; the rest is for the round trip.
-ADAPTER_S = 0.012
+ADAPTER_LOAD_S = 0.012
 # Time until the start or end of an adapter's use is reported through the hubs.
 ADAPTER_IDLE_S = 0.8
 # Loads from the store that are reserved for models in demand.
-SPARED_LOADS = 1
+RESERVED_LOADS = 1
 
 
 def steps(inputs: data.Inputs, target: data.PlacementTarget) -> list[data.Step]:
     """Returns the steps to take now to bring engines to the target."""
-    draft = _Draft(inputs, target)
-    _order_adapters(draft)
-    _order_models(draft)
-    return draft.steps
+    builder = _StepBuilder(inputs, target)
+    _order_adapters(builder)
+    _order_models(builder)
+    return builder.steps
 
 
 def withdrawals_to_end(
-    withdrawn: Iterable[tuple[str, str]], taken: Iterable[data.Step]
+    withdrawn: Iterable[tuple[str, str]], planned: Iterable[data.Step]
 ) -> list[tuple[str, str]]:
     """Returns withdrawn models, by engine and model, that no step needs."""
     wanted = {
         (step.instance_id, step.target)
-        for step in taken
+        for step in planned
         if step.kind is not data.StepKind.LOAD
     }
     return [key for key in withdrawn if key not in wanted]
 
 
-class _Draft:
+class _StepBuilder:
     """Collects steps, with at most one order per engine."""
 
     __slots__ = (
@@ -54,7 +54,7 @@
         "target",
         "engines",
         "steps",
-        "taken",
+        "ordered_engines",
         "reserved",
         "store_loads",
         "running",
@@ -75,7 +75,7 @@
             if name in self.engines
         }
         self.steps: list[data.Step] = []
-        self.taken: set[str] = set()
+        self.ordered_engines: set[str] = set()
         # Engines at which a model waits for room that has a higher value than
         # the models considered later.
         self.reserved: set[str] = set()
@@ -85,84 +85,96 @@
     def order(self, step: data.Step) -> None:
         """Adds an order."""
         self.steps.append(step)
-        self.taken.add(step.instance_id)
+        self.ordered_engines.add(step.instance_id)
         self.store_loads -= 1 if step.from_store else 0
 
-    def reserve(self, engine: data.Engine, worth: float) -> None:
+    def reserve(self, engine: data.Engine, replica_value: float) -> None:
         """Reserves an engine's next order for a model that waits for room."""
-        if worth > placement_draft.MOVE_LOSS:
+        if replica_value > placement_draft.MOVE_LOSS:
             self.reserved.add(engine.name)
 
-    def is_kept_from(self, engine: data.Engine, takes_s: float) -> bool:
+    def would_delay_reserved(self, engine: data.Engine, takes_s: float) -> bool:
         """Whether a load would delay one of a higher value.
 
         Short loads end before the requests of the evicted model have ended.
         """
-        is_long = takes_s > placement_draft.RUNNING_S
+        is_long = takes_s > placement_draft.RUNNING_REQUEST_S
         return is_long and engine.name in self.reserved
 
     def may_order(self, engine: data.Engine) -> bool:
         """Whether an engine may get an order of this plan."""
-        return engine.can_take_order and engine.name not in self.taken
+        return engine.can_take_order and engine.name not in self.ordered_engines
 
 
 # -- models ---------------------------------------------------------------
 
 
-def _order_models(draft: _Draft) -> None:
+def _order_models(builder: _StepBuilder) -> None:
     wanted = []
-    for instance_id, models in draft.target.items():
-        inventory = draft.engines[instance_id].inventory
+    for instance_id, models in builder.target.items():
+        inventory = builder.engines[instance_id].inventory
         for name in models:
             if not inventory.is_held_or_loading(name):
-                worth, reason = _worth(draft, name)
-                wanted.append((worth, name, instance_id, reason))
-    for worth, name, instance_id, reason in sorted(wanted, reverse=True):
-        _lead_to(draft, draft.engines[instance_id], name, worth, reason)
+                replica_value, reason = _replica_value(builder, name)
+                wanted.append((replica_value, name, instance_id, reason))
+    for replica_value, name, instance_id, reason in sorted(
+        wanted, reverse=True
+    ):
+        _add_step_towards(
+            builder, builder.engines[instance_id], name, replica_value, reason
+        )
 
 
-def _worth(draft: _Draft, name: str) -> tuple[float, str]:
-    """Returns the value of one more place for a model, and the reason.
+def _replica_value(builder: _StepBuilder, name: str) -> tuple[float, str]:
+    """Returns the value of one more replica of a model, and the reason.
 
     The value is in requests per second: all that depend on the model, or those
     that its engines have no capacity for.
     """
-    demand = draft.inputs.demand_for(name)
-    places = sum(
+    demand = builder.inputs.demand_for(name)
+    replicas = sum(
         engine.inventory.is_held_or_loading(name)
-        for engine in draft.engines.values()
+        for engine in builder.engines.values()
     )
-    if not places:
-        worth = placement_draft.IDLE_VALUE
+    if not replicas:
+        replica_value = placement_draft.IDLE_VALUE
         if demand.is_in_demand:
-            worth = max(worth, demand.value)
-        return worth, "is held nowhere"
-    load = demand.load / places
-    over = 0.0
-    if load > placement_draft.FULL_SHARE:
-        over = 1.0 - placement_draft.FULL_SHARE / load
-    worth = demand.rate * max(over, placement_draft.SPARE_SHARE)
-    return worth, "gets a further place"
-
-
-def _lead_to(
-    draft: _Draft, engine: data.Engine, name: str, worth: float, reason: str
+            replica_value = max(replica_value, demand.value)
+        return replica_value, "is held nowhere"
+    load = demand.load / replicas
+    excess = 0.0
+    if load > placement_draft.FULL_LOAD:
+        excess = 1.0 - placement_draft.FULL_LOAD / load
+    replica_value = demand.rate * max(excess, placement_draft.SPARE_SHARE)
+    return replica_value, "gets a further place"
+
+
+def _add_step_towards(
+    builder: _StepBuilder,
+    engine: data.Engine,
+    name: str,
+    replica_value: float,
+    reason: str,
 ) -> None:
     """Adds the next step towards loading a model at an engine."""
-    inputs = draft.inputs
+    inputs = builder.inputs
     free_mb = inputs.spec.weights_mb - engine.inventory.used_mb(inputs.spec)
     if free_mb < inputs.size(name):
-        _make_room(draft, engine, name, reason, worth)
-        draft.reserve(engine, worth)
+        _make_room(builder, engine, name, reason, replica_value)
+        builder.reserve(engine, replica_value)
         return
     takes_s, from_store = inputs.load_time(engine, name)
-    if not draft.may_order(engine) or draft.is_kept_from(engine, takes_s):
+    if not builder.may_order(engine) or builder.would_delay_reserved(
+        engine, takes_s
+    ):
         return
     # Models without demand leave store loads for models requested next.
-    spared = 0 if inputs.demand_for(name).is_in_demand else SPARED_LOADS
-    if from_store and draft.store_loads <= spared:
+    reserved_loads = (
+        0 if inputs.demand_for(name).is_in_demand else RESERVED_LOADS
+    )
+    if from_store and builder.store_loads <= reserved_loads:
         return
-    draft.order(
+    builder.order(
         data.Step(
             data.StepKind.LOAD, engine.name, name, reason, from_store, takes_s
         )
@@ -170,74 +182,86 @@
 
 
 def _make_room(
-    draft: _Draft, engine: data.Engine, name: str, reason: str, worth: float
+    builder: _StepBuilder,
+    engine: data.Engine,
+    name: str,
+    reason: str,
+    replica_value: float,
 ) -> None:
     """Withdraws or unloads a model that is not in the engine's target."""
-    inputs = draft.inputs
+    inputs = builder.inputs
     victims = [
-        one
-        for one in sorted(engine.inventory.models)
-        if one not in draft.target[engine.name]
-        and _may_go(draft, engine.name, one, worth)
+        model
+        for model in sorted(engine.inventory.models)
+        if model not in builder.target[engine.name]
+        and _may_evict(builder, engine.name, model, replica_value)
     ]
     if not victims:
         return
     victim = min(
         victims,
-        key=lambda one: (
-            (engine.name, one) not in inputs.withdrawn,
-            draft.running.get((engine.name, one), 0) > 0,
-            inputs.demand_for(one).value,
-            one,
+        key=lambda model: (
+            (engine.name, model) not in inputs.withdrawn,
+            builder.running.get((engine.name, model), 0) > 0,
+            inputs.demand_for(model).value,
+            model,
         ),
     )
     why = f"makes room for {name}, which {reason}"
-    is_idle = _is_idle(draft, engine.name, victim)
-    if is_idle and draft.may_order(engine):
-        draft.order(data.Step(data.StepKind.UNLOAD, engine.name, victim, why))
+    is_idle = _is_idle(builder, engine.name, victim)
+    if is_idle and builder.may_order(engine):
+        builder.order(data.Step(data.StepKind.UNLOAD, engine.name, victim, why))
     elif not is_idle or (engine.name, victim) in inputs.withdrawn:
-        draft.steps.append(
+        builder.steps.append(
             data.Step(data.StepKind.WITHDRAW, engine.name, victim, why)
         )
 
 
-def _may_go(draft: _Draft, instance_id: str, name: str, worth: float) -> bool:
+def _may_evict(
+    builder: _StepBuilder, instance_id: str, name: str, replica_value: float
+) -> bool:
     """Whether a model may be evicted now for one of the given value."""
-    places = [one for one, held in draft.target.items() if name in held]
-    if not places:
+    replicas = [
+        engine_id for engine_id, held in builder.target.items() if name in held
+    ]
+    if not replicas:
         return True
-    answers = any(
-        name in draft.engines[one].inventory.models
-        for one in places
-        if one != instance_id
+    is_held_elsewhere = any(
+        name in builder.engines[engine_id].inventory.models
+        for engine_id in replicas
+        if engine_id != instance_id
+    )
+    return not builder.inputs.must_move_first(
+        name, is_held_elsewhere, replica_value
     )
-    return not draft.inputs.must_move_first(name, answers, worth)
 
 
-def _is_idle(draft: _Draft, instance_id: str, name: str) -> bool:
+def _is_idle(builder: _StepBuilder, instance_id: str, name: str) -> bool:
     """Whether a model has no requests in flight and gets no new ones."""
-    inputs = draft.inputs
-    if draft.running.get((instance_id, name), 0) > 0:
+    inputs = builder.inputs
+    if builder.running.get((instance_id, name), 0) > 0:
         return False
     since_s = inputs.withdrawn.get((instance_id, name))
     if since_s is not None:
-        return inputs.now_s - since_s >= SETTLE_S
-    return inputs.demand_for(name).rate < data.ASKED_RATE
+        return inputs.now_s - since_s >= WITHDRAW_SETTLE_S
+    return inputs.demand_for(name).rate < data.MIN_DEMAND_RATE
 
 
 # -- adapters -------------------------------------------------------------
 
 
-def _order_adapters(draft: _Draft) -> None:
-    for want in draft.inputs.wants:
-        engine = draft.engines.get(want.instance_id)
-        if engine is not None and draft.may_order(engine):
-            _order_adapter(draft, engine, want.target)
+def _order_adapters(builder: _StepBuilder) -> None:
+    for want in builder.inputs.wants:
+        engine = builder.engines.get(want.instance_id)
+        if engine is not None and builder.may_order(engine):
+            _order_adapter(builder, engine, want.target)
 
 
-def _order_adapter(draft: _Draft, engine: data.Engine, target: str) -> None:
+def _order_adapter(
+    builder: _StepBuilder, engine: data.Engine, target: str
+) -> None:
     inventory = engine.inventory
-    spec = draft.inputs.spec
+    spec = builder.inputs.spec
     model = spec.models.get(target.partition("/")[0])
     if model is None or model.name not in inventory.models:
         return
@@ -247,22 +271,22 @@
     free_mb = spec.weights_mb - inventory.used_mb(spec)
     is_full = len(inventory.all_adapters()) >= spec.adapter_slots
     if is_full or free_mb < model.adapter_mb:
-        victim = _idle_adapter(draft, engine)
+        victim = _idle_adapter(builder, engine)
         if victim is not None:
             why = f"makes room for {target}"
-            draft.order(
+            builder.order(
                 data.Step(data.StepKind.UNLOAD, engine.name, victim, why)
             )
         return
     why = "a request waits for it"
-    draft.order(
+    builder.order(
         data.Step(
-            data.StepKind.LOAD, engine.name, target, why, False, ADAPTER_S
+            data.StepKind.LOAD, engine.name, target, why, False, ADAPTER_LOAD_S
         )
     )
 
 
-def _idle_adapter(draft: _Draft, engine: data.Engine) -> str | None:
+def _idle_adapter(builder: _StepBuilder, engine: data.Engine) -> str | None:
     """Returns the least recently used adapter if it is idle, else None.
 
     Unloading an adapter in use blocks all orders to the engine until its
@@ -271,15 +295,15 @@
     inventory = engine.inventory
     wanted = {
         want.target
-        for want in draft.inputs.wants
+        for want in builder.inputs.wants
         if want.instance_id == engine.name
     }
     idle = []
     for target in inventory.adapters - wanted:
         used_s = max(
             inventory.loaded_s.get(target, -math.inf),
-            draft.inputs.used_s.get((engine.name, target), -math.inf),
+            builder.inputs.used_s.get((engine.name, target), -math.inf),
         )
-        if draft.inputs.now_s - used_s >= ADAPTER_IDLE_S:
+        if builder.inputs.now_s - used_s >= ADAPTER_IDLE_S:
             idle.append((used_s, target))
     return min(idle)[1] if idle else None
--- a/sesamecross/ops/fleet/placement_target.py
+++ b/sesamecross/ops/fleet/placement_target.py
@@ -4,9 +4,9 @@
 request for a model that no engine holds waits for a load of 0.3 to 4 s; a model
 with more requests than one engine can serve makes all of them late. The target
 is kept from plan to plan and changed only by moves with a positive net gain:
-the value of the place in requests per second, less that of the evicted models,
-over the typical duration of demand, less what is lost until the model is
-loaded.
+the value of the replica in requests per second, less that of the evicted
+models, over the typical duration of demand, less what is lost until the model
+is loaded.
 
 An evicted model may find room at another engine, and is then loaded there
 first. So small models on different engines can be moved together to make room
@@ -24,34 +24,34 @@
 # that wait meanwhile.
 LOAD_COST = 0.5
 # Share of requests that is always late: prompts too large to be on time.
-LATE_SHARE = 0.15
+BASE_LATE_SHARE = 0.15
 # Late requests indicate that a model needs another engine only if its engines
 # have at least this load: a model on engines with 12 slots got eight engines
 # for the work of four, as requests were late during the load of each further
 # one.
-LATE_LOAD = 0.5
+MIN_LATE_LOAD = 0.5
 # A model is evicted only if the gain is this many times the loss.
-DISPLACE_TIMES = 1.5
+EVICTION_GAIN_RATIO = 1.5
 # Fairness: the value of a model that is held nowhere doubles in this time.
-STARVED_S = 15.0
-# From this load on, a second place for a model has some value in free room.
-SPARE_LOAD = 0.15
+STARVATION_S = 15.0
+# From this load on, a second replica of a model has some value in free room.
+MIN_SPARE_LOAD = 0.15
 # Cost of leftover room, in requests, so that models go where they fit closely.
 LEFT_OVER_COST = 0.3
 # A model without demand has some value in free room, counted over a longer
 # time, as nothing else changes meanwhile.
 IDLE_HORIZON_S = 60.0
-MOVES_MOST = 12
+MAX_MOVES = 12
 
 
 def plan_target(inputs: data.Inputs) -> data.PlacementTarget:
     """Returns the models that each engine should hold."""
     draft = placement_draft.Draft(inputs, inputs.target)
-    placement_swaps.take_sooner(draft)
-    placement_swaps.exchange(draft)
+    placement_swaps.move_to_sooner(draft)
+    placement_swaps.swap(draft)
     tried: set[str] = set()
-    for _ in range(MOVES_MOST):
-        name = _most_worth(draft, tried)
+    for _ in range(MAX_MOVES):
+        name = _most_valuable(draft, tried)
         if name is None:
             break
         move = _best_move(draft, name)
@@ -69,17 +69,27 @@
     """
     draft = placement_draft.Draft(inputs, {})
     for name in sorted(inputs.spec.models):
-        if not inputs.demand_for(name).waiting or draft.places[name]:
+        if not inputs.demand_for(name).waiting or draft.replicas[name]:
             continue
-        free = [one for one in draft.engines if _is_free(draft, one, name)]
+        free = [
+            engine_id
+            for engine_id in draft.engines
+            if _is_free(draft, engine_id, name)
+        ]
         if free:
-            draft.add(min(free, key=lambda one: (draft.load[one], one)), name)
+            draft.add(
+                min(
+                    free,
+                    key=lambda engine_id: (draft.load[engine_id], engine_id),
+                ),
+                name,
+            )
     return {name: frozenset(held) for name, held in draft.held.items()}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Move:
-    """A model gets a place at an engine, which evicts others for it."""
+    """A new replica of a model at an engine, which evicts others for it."""
 
     score: float
     instance_id: str
@@ -93,8 +103,8 @@
     draft.add(move.instance_id, move.name)
 
 
-def _most_worth(draft: placement_draft.Draft, tried: set[str]) -> str | None:
-    """Returns the model that gains most from one more place, or None."""
+def _most_valuable(draft: placement_draft.Draft, tried: set[str]) -> str | None:
+    """Returns the model that gains most from one more replica, or None."""
     best = None
     for name in draft.inputs.spec.models:
         if name in tried:
@@ -106,51 +116,51 @@
 
 
 def _gain(draft: placement_draft.Draft, name: str) -> float:
-    """Returns the value of one more place for a model, in requests per second.
+    """Returns the value of one more replica, in requests per second.
 
-    The first place has the value of all requests that depend on the model. A
+    The first replica has the value of all requests that depend on the model. A
     further one has that of the requests that exceed the capacity of the
-    existing places, or a small value in free room.
+    existing replicas, or a small value in free room.
     """
     demand = draft.inputs.demand_for(name)
-    places = draft.places[name]
+    replicas = draft.replicas[name]
     if not demand.is_in_demand:
-        is_missed = not places and draft.inputs.are_engines_known
+        is_missed = not replicas and draft.inputs.are_engines_known
         return placement_draft.IDLE_VALUE if is_missed else 0.0
-    if not places:
-        return demand.value * (1.0 + demand.starved_s / STARVED_S)
-    over = _over(draft, name)
-    if over > 0:
-        return demand.rate * over
-    if demand.load < SPARE_LOAD or len(places) > 1:
+    if not replicas:
+        return demand.value * (1.0 + demand.starved_s / STARVATION_S)
+    excess_share = _excess_share(draft, name)
+    if excess_share > 0:
+        return demand.rate * excess_share
+    if demand.load < MIN_SPARE_LOAD or len(replicas) > 1:
         return 0.0
     return demand.rate * placement_draft.SPARE_SHARE
 
 
-def _over(draft: placement_draft.Draft, name: str) -> float:
+def _excess_share(draft: placement_draft.Draft, name: str) -> float:
     """Returns the share of a model's requests that its engines can't serve.
 
     This is the share that is late beyond those that always are, or the share
     that exceeds the engines' time and slots. Lateness shows overload of any
     cause, but a second after it starts.
     """
-    load = min(draft.load[one] for one in draft.places[name])
-    excess = 1.0 - placement_draft.FULL_SHARE / load if load > 0 else 0.0
-    late = draft.inputs.demand_for(name).late - LATE_SHARE
-    if load < LATE_LOAD:
+    load = min(draft.load[engine_id] for engine_id in draft.replicas[name])
+    excess = 1.0 - placement_draft.FULL_LOAD / load if load > 0 else 0.0
+    late = draft.inputs.demand_for(name).late - BASE_LATE_SHARE
+    if load < MIN_LATE_LOAD:
         # A lightly loaded engine is not the cause of late requests.
         late = 0.0
     return max(0.0, excess, late)
 
 
 def _best_move(draft: placement_draft.Draft, name: str) -> _Move | None:
-    """Returns the best place for a model, or None if none has a net gain."""
+    """Returns the best engine for a model, or None if none has a net gain."""
     gain = _gain(draft, name)
-    places = draft.places[name]
-    is_spare = bool(places) and _over(draft, name) <= 0
+    replicas = draft.replicas[name]
+    is_spare = bool(replicas) and _excess_share(draft, name) <= 0
     best = None
     for instance_id in draft.engines:
-        if instance_id in places:
+        if instance_id in replicas:
             continue
         found = _cheapest_victims(draft, instance_id, name)
         if found is None:
@@ -168,7 +178,7 @@
     """Whether a model fits beside everything that an engine holds."""
     inputs = draft.inputs
     used = draft.engines[instance_id].inventory.used_mb(inputs.spec)
-    used = max(used, inputs.spec.weights_mb - draft.free[instance_id])
+    used = max(used, inputs.spec.weights_mb - draft.free_mb[instance_id])
     return used + inputs.size(name) <= inputs.spec.weights_mb
 
 
@@ -180,30 +190,32 @@
     loss: float,
     victims: tuple[str, ...],
 ) -> float:
-    if loss > 0 and gain < loss * DISPLACE_TIMES:
+    if loss > 0 and gain < loss * EVICTION_GAIN_RATIO:
         return -1.0
     engine = draft.engines[instance_id]
     inputs = draft.inputs
     demand = inputs.demand_for(name)
     busy = draft.load[instance_id]
-    busy += demand.load / (len(draft.places[name]) + 1)
-    takes = min(1.0, placement_draft.FULL_SHARE / busy) if busy > 0 else 1.0
+    busy += demand.load / (len(draft.replicas[name]) + 1)
+    served_share = (
+        min(1.0, placement_draft.FULL_LOAD / busy) if busy > 0 else 1.0
+    )
     cost = 0.0
     delay_s = 0.0
     if not engine.inventory.is_held_or_loading(name):
         delay_s, from_store = inputs.load_time(engine, name)
         cost = LOAD_COST if from_store else LOAD_COST / 4
-        delay_s += placement_draft.waits_for(draft, engine, name)
-    left_over = draft.free[instance_id] + sum(map(inputs.size, victims))
+        delay_s += placement_draft.load_delay_s(draft, engine, name)
+    left_over = draft.free_mb[instance_id] + sum(map(inputs.size, victims))
     left_over -= inputs.size(name)
     cost += LEFT_OVER_COST * left_over / inputs.spec.weights_mb
     horizon_s = (
         placement_draft.HORIZON_S if demand.is_in_demand else IDLE_HORIZON_S
     )
-    win = gain * takes * max(0.0, horizon_s - delay_s)
+    net_gain = gain * served_share * max(0.0, horizon_s - delay_s)
     # The engine's load delays all requests there.
-    win -= gain * busy
-    return win - loss * horizon_s - cost
+    net_gain -= gain * busy
+    return net_gain - loss * horizon_s - cost
 
 
 def _cheapest_victims(
@@ -215,7 +227,7 @@
     sets are tried.
     """
     size = draft.inputs.size
-    missing_mb = size(name) - draft.free[instance_id]
+    missing_mb = size(name) - draft.free_mb[instance_id]
     if missing_mb <= 0:
         return 0.0, ()
     losses = []
--- a/sesamecross/ops/fleet/placement_target_test.py
+++ b/sesamecross/ops/fleet/placement_target_test.py
@@ -37,8 +37,8 @@
     assert "busy" in got["e2"]
 
 
-def test_models_swap_no_places_without_a_gain():
-    """Both places are free at once: the plan does not change."""
+def test_models_do_not_swap_without_a_gain():
+    """Both engines have room at once: the plan does not change."""
     before = {"e1": frozenset({"busy"}), "e2": frozenset({"rare"})}
     got = placement_target.plan_target(
         inputs(
@@ -80,7 +80,7 @@
             {
                 "busy": LOAD_S
                 + placement_draft.UNLOAD_S
-                + placement_draft.RUNNING_S
+                + placement_draft.RUNNING_REQUEST_S
             },
         ),
     ],
--- a/sesamecross/ops/fleet/placement_types.py
+++ b/sesamecross/ops/fleet/placement_types.py
@@ -15,7 +15,7 @@
 # falls below this, in requests per second: one request keeps it for 9 s, and a
 # busy model without further requests is kept for 21 s unless others need the
 # room.
-ASKED_RATE = 0.03
+MIN_DEMAND_RATE = 0.03
 # Minimum value of a model while a request waits for it, in requests per second.
 WAITING_VALUE = 0.3
 
@@ -35,7 +35,7 @@
     """
 
     rate: float
-    usual: float
+    long_term_rate: float
     load: float
     waiting: int
     late: float = 0.0
@@ -44,13 +44,13 @@
     @property
     def is_in_demand(self) -> bool:
         """Whether at least one engine should hold it."""
-        return self.waiting > 0 or self.usual >= ASKED_RATE
+        return self.waiting > 0 or self.long_term_rate >= MIN_DEMAND_RATE
 
     @property
     def value(self) -> float:
         """Requests per second that depend on it."""
-        least = WAITING_VALUE if self.waiting else 0.0
-        return max(self.rate, self.usual, least)
+        minimum = WAITING_VALUE if self.waiting else 0.0
+        return max(self.rate, self.long_term_rate, minimum)
 
 
 NO_DEMAND = ModelDemand(0.0, 0.0, 0.0, 0)
@@ -128,19 +128,21 @@
         return self.demand.get(name, NO_DEMAND)
 
     def must_move_first(
-        self, name: str, answers_elsewhere: bool, worth: float
+        self, name: str, is_held_elsewhere: bool, room_value: float
     ) -> bool:
         """Whether a model must be loaded elsewhere before it is evicted.
 
         The incoming model and its callers wait for that load. If it has more
-        callers than the evicted model, it is better that the latter's wait.
+        callers than the evicted model, it is better if the latter's wait.
 
         Args:
           name: The model to evict, which has another engine planned.
-          answers_elsewhere: Whether another engine holds it already.
-          worth: Requests per second that depend on the room.
+          is_held_elsewhere: Whether another engine holds it already.
+          room_value: Requests per second that depend on the room.
         """
-        return not answers_elsewhere and self.demand_for(name).value >= worth
+        return (
+            not is_held_elsewhere and self.demand_for(name).value >= room_value
+        )
 
     def size(self, name: str) -> float:
         """Returns a model's size in MB."""
--- a/sesamecross/ops/fleet/reachability.py
+++ b/sesamecross/ops/fleet/reachability.py
@@ -12,12 +12,12 @@
 
 # A refusal or timeout counts this long; then the upstream is tried again, at
 # the cost of one attempt.
-COUNTS_S = 1.5
+FAILURE_TTL_S = 1.5
 # Silence of all streams that marks an upstream as silent. Streams bring events
 # every 30 to 100 ms; late but harmless gaps reach 0.4 s.
-QUIET_S = 0.8
+SILENCE_TIMEOUT_S = 0.8
 # An event or a response shows for this long that the upstream is reachable.
-FRESH_S = 1.0
+CONTACT_TTL_S = 1.0
 
 
 class State(enum.IntEnum):
@@ -39,9 +39,9 @@
     """
 
     streaming: int = 0
-    heard_s: float = -FRESH_S
-    _silent_s: float = -COUNTS_S
-    _refused_s: float = -COUNTS_S
+    heard_s: float = -CONTACT_TTL_S
+    _silent_s: float = -FAILURE_TTL_S
+    _refused_s: float = -FAILURE_TTL_S
 
     def record_contact(self, now_s: float) -> None:
         """Records an event or a response."""
@@ -57,17 +57,19 @@
 
     def state(self, now_s: float) -> State:
         """Returns the current state."""
-        if self._counts(self._refused_s, now_s):
+        if self._is_current(self._refused_s, now_s):
             return State.REFUSED
-        is_quiet = self.streaming > 0 and now_s - self.heard_s > QUIET_S
-        if is_quiet or self._counts(self._silent_s, now_s):
+        is_quiet = (
+            self.streaming > 0 and now_s - self.heard_s > SILENCE_TIMEOUT_S
+        )
+        if is_quiet or self._is_current(self._silent_s, now_s):
             return State.SILENT
-        if now_s - self.heard_s < FRESH_S:
+        if now_s - self.heard_s < CONTACT_TTL_S:
             return State.HEARS
         return State.UNKNOWN
 
-    def _counts(self, at_s: float, now_s: float) -> bool:
-        return at_s > self.heard_s and now_s - at_s < COUNTS_S
+    def _is_current(self, at_s: float, now_s: float) -> bool:
+        return at_s > self.heard_s and now_s - at_s < FAILURE_TTL_S
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -86,7 +88,9 @@
             self.refused + (state is State.REFUSED),
         )
 
-    def with_all(self, other: "ReachabilityCounts") -> "ReachabilityCounts":
+    def combined_with(
+        self, other: "ReachabilityCounts"
+    ) -> "ReachabilityCounts":
         """Returns the sums."""
         return ReachabilityCounts(
             self.hears + other.hears,
--- a/sesamecross/ops/fleet/report_totals.py
+++ b/sesamecross/ops/fleet/report_totals.py
@@ -14,7 +14,7 @@
 
 # A report older than this no longer counts. Members send at least every 0.4 s;
 # summaries cross regions and may be lost.
-KEEP_S = 1.6
+REPORT_TTL_S = 1.6
 
 Source = fm.Report | fm.Summary
 
@@ -64,64 +64,66 @@
         """Returns the outcomes as message fields."""
         return [
             fm.UpstreamOutcomes(
-                upstream, round(one.failed, 1), round(one.total, 1)
+                upstream, round(entry.failed, 1), round(entry.total, 1)
             )
-            for upstream, one in self.failing.items()
+            for upstream, entry in self.failing.items()
         ]
 
 
 def aggregate(sources: Iterable[Source | fm.View]) -> Totals:
     """Returns the totals over reports and summaries."""
-    sums = Totals({}, {}, {}, {}, {}, {})
+    totals = Totals({}, {}, {}, {}, {}, {})
     for source in sources:
         for load in source.loads:
             name = load.upstream
-            sums.running[name] = sums.running.get(name, 0) + load.running
-            tokens = sums.prompt_tokens.get(name, 0) + load.prompt_tokens
-            sums.prompt_tokens[name] = tokens
-            known = sums.reports.get(name, reachability.ReachabilityCounts())
-            told = reachability.ReachabilityCounts(
+            totals.running[name] = totals.running.get(name, 0) + load.running
+            tokens = totals.prompt_tokens.get(name, 0) + load.prompt_tokens
+            totals.prompt_tokens[name] = tokens
+            known = totals.reports.get(name, reachability.ReachabilityCounts())
+            reported = reachability.ReachabilityCounts(
                 load.hears, load.silent, load.refused
             )
-            sums.reports[name] = known.with_all(told)
+            totals.reports[name] = known.combined_with(reported)
         for use in source.uses:
             key = (use.upstream, use.target)
-            sums.in_use[key] = sums.in_use.get(key, 0) + use.running
-        for one in source.demand:
-            _add_demand(sums.demand, one)
-        for one in source.failing:
-            known = sums.failing.get(one.upstream, health.Outcomes())
-            outcomes = health.Outcomes(one.failed, one.total)
-            sums.failing[one.upstream] = known.plus(outcomes)
-    return sums
+            totals.in_use[key] = totals.in_use.get(key, 0) + use.running
+        for entry in source.demand:
+            _add_demand(totals.demand, entry)
+        for entry in source.failing:
+            known = totals.failing.get(entry.upstream, health.Outcomes())
+            outcomes = health.Outcomes(entry.failed, entry.total)
+            totals.failing[entry.upstream] = known.plus(outcomes)
+    return totals
 
 
 def _add_demand(
-    demand: dict[tuple[str, str], fm.TargetDemand], one: fm.TargetDemand
+    demand: dict[tuple[str, str], fm.TargetDemand], entry: fm.TargetDemand
 ) -> None:
-    key = (one.service, one.target)
+    key = (entry.service, entry.target)
     known = demand.get(key)
     if known is None:
-        demand[key] = one
+        demand[key] = entry
         return
-    rate = known.rate + one.rate
+    rate = known.rate + entry.rate
     late = 0.0
     if rate > 0:
-        late = (known.rate * known.late + one.rate * one.late) / rate
+        late = (known.rate * known.late + entry.rate * entry.late) / rate
     demand[key] = fm.TargetDemand(
-        one.service,
-        one.target,
+        entry.service,
+        entry.target,
         rate,
-        known.waiting + one.waiting,
+        known.waiting + entry.waiting,
         late,
-        _mean_known((known.rate, known.place_s), (one.rate, one.place_s)),
-        _mean_known((known.rate, known.read_s), (one.rate, one.read_s)),
+        _weighted_mean(
+            (known.rate, known.place_s), (entry.rate, entry.place_s)
+        ),
+        _weighted_mean((known.rate, known.read_s), (entry.rate, entry.read_s)),
     )
 
 
-def _mean_known(*told: tuple[float, float]) -> float:
+def _weighted_mean(*reported: tuple[float, float]) -> float:
     """Returns the mean of known times (above 0), weighted by rate."""
-    known = [(rate, time_s) for rate, time_s in told if time_s > 0]
+    known = [(rate, time_s) for rate, time_s in reported if time_s > 0]
     total = sum(rate for rate, _ in known)
     if total <= 0:
         return max((time_s for _, time_s in known), default=0.0)
@@ -145,8 +147,8 @@
         name = message.me.name
         known = self._messages.get(name)
         if known is not None:
-            earlier = known[0]
-            before = (earlier.me.incarnation, earlier.number)
+            previous = known[0]
+            before = (previous.me.incarnation, previous.number)
             if (message.me.incarnation, message.number) <= before:
                 return False
         self._messages[name] = (message, now_s)
@@ -157,7 +159,7 @@
         return [
             message
             for message, at_s in self._messages.values()
-            if now_s - at_s < KEEP_S
+            if now_s - at_s < REPORT_TTL_S
         ]
 
     def last_number(self, name: str) -> int:
--- a/sesamecross/ops/fleet/retry_budget.py
+++ b/sesamecross/ops/fleet/retry_budget.py
@@ -14,10 +14,10 @@
 import xxhash
 
 # Assumed number of instances, to divide the extra, if the number is unknown.
-INSTANCES_UNKNOWN = 100
+ASSUMED_INSTANCES = 100
 # Keeps below the bound, as other instances may count the requests in a sliding
 # window later, and instances that die leave their part unused.
-_MARGIN = 0.7
+_SAFETY_FACTOR = 0.7
 
 
 def rounding_offset(name: str) -> float:
@@ -32,18 +32,18 @@
         "_share",
         "_extra",
         "_window_s",
-        "_part",
+        "_rounding",
         "_requests",
-        "_repeats",
+        "_retries",
     )
 
     def __init__(
-        self, share: float, extra: float, window_s: float, part: float
+        self, share: float, extra: float, window_s: float, rounding: float
     ):
         self.set_limits(share, extra, window_s)
-        self._part = part
+        self._rounding = rounding
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
     def set_limits(self, share: float, extra: float, window_s: float) -> None:
         """Changes the limits; retries already spent stay counted."""
@@ -54,7 +54,7 @@
     def request(self, now_s: float) -> None:
         """Counts a caller's request."""
         self._requests.append(now_s)
-        self._forget(now_s)
+        self._remove_expired(now_s)
 
     def spend(self, now_s: float, instances: int | None) -> bool:
         """Takes one retry from the budget; returns whether there was one.
@@ -64,16 +64,16 @@
           instances: How many instances share the extra, including this one;
             None if unknown.
         """
-        self._forget(now_s)
-        parts = max(1, instances or INSTANCES_UNKNOWN)
-        allowed = self._share * len(self._requests) + self._extra / parts
-        if len(self._repeats) + 1 > allowed * _MARGIN + self._part:
+        self._remove_expired(now_s)
+        divisor = max(1, instances or ASSUMED_INSTANCES)
+        allowed = self._share * len(self._requests) + self._extra / divisor
+        if len(self._retries) + 1 > allowed * _SAFETY_FACTOR + self._rounding:
             return False
-        self._repeats.append(now_s)
+        self._retries.append(now_s)
         return True
 
-    def _forget(self, now_s: float) -> None:
+    def _remove_expired(self, now_s: float) -> None:
         oldest_s = now_s - self._window_s
-        for times in (self._requests, self._repeats):
+        for times in (self._requests, self._retries):
             while times and times[0] < oldest_s:
                 times.popleft()
--- a/sesamecross/ops/fleet/retry_policy.py
+++ b/sesamecross/ops/fleet/retry_policy.py
@@ -89,16 +89,16 @@
 
 # Limit on sends whatever the responses: an upstream that keeps refusing is
 # full, and each refused send uses up the retry budget of all instances.
-SENDS_MOST = 4
+MAX_SENDS = 4
 # Limit on chosen upstreams. Connections that are refused or not accepted count
 # only here.
-TRIES_MOST = 8
+MAX_TRIES = 8
 
 
 def decide_after_failure(
     route: serving.Route,
     failure: Failure,
-    progress: AttemptHistory,
+    history: AttemptHistory,
     may_spend: bool,
 ) -> NextAction:
     """Decides what follows a failed attempt.
@@ -109,36 +109,36 @@
       history: The request's attempts, including this one.
       may_spend: Whether the retry budget allows one more send.
     """
-    if not _may_send_again(route, failure, progress):
-        return _final(failure, progress)
-    if progress.tries >= TRIES_MOST:
-        return _final(failure, progress)
-    if progress.sends == 0:
+    if not _may_resend(route, failure, history):
+        return _final_action(failure, history)
+    if history.tries >= MAX_TRIES:
+        return _final_action(failure, history)
+    if history.sends == 0:
         # The request has not been sent yet, so this is not a repeated send.
         return NextAction.RETRY
-    if progress.sends >= SENDS_MOST or not may_spend:
-        return _final(failure, progress)
+    if history.sends >= MAX_SENDS or not may_spend:
+        return _final_action(failure, history)
     return NextAction.RETRY
 
 
-def _may_send_again(
-    route: serving.Route, failure: Failure, progress: AttemptHistory
+def _may_resend(
+    route: serving.Route, failure: Failure, history: AttemptHistory
 ) -> bool:
     match failure:
         case NotSent() | NotRun():
-            return route.is_retry_safe or not progress.possibly_ran_at
+            return route.is_retry_safe or not history.possibly_ran_at
         case Lost() | FailedThere():
             return (
                 route.is_retry_safe
-                and len(progress.possibly_ran_at) < route.max_upstreams
+                and len(history.possibly_ran_at) < route.max_upstreams
             )
     return False
 
 
-def _final(failure: Failure, progress: AttemptHistory) -> NextAction:
+def _final_action(failure: Failure, history: AttemptHistory) -> NextAction:
     match failure:
         case FailedThere():
             return NextAction.DELIVER
-        case NotSent() | NotRun() if not progress.possibly_ran_at:
+        case NotSent() | NotRun() if not history.possibly_ran_at:
             return NextAction.REFUSE
     return NextAction.FAIL
--- a/sesamecross/ops/fleet/retry_policy_test.py
+++ b/sesamecross/ops/fleet/retry_policy_test.py
@@ -28,7 +28,7 @@
 
 
 AT_MOST_ONCE = route(serving.RouteKind.AT_MOST_ONCE)
-AGAIN = route(serving.RouteKind.IDEMPOTENT)
+REPEATABLE = route(serving.RouteKind.IDEMPOTENT)
 STREAM = route(serving.RouteKind.STREAM)
 RESUMABLE = route(serving.RouteKind.STREAM, resumable=True)
 NextAction = retry_policy.NextAction
@@ -75,10 +75,24 @@
             NextAction.DELIVER,
         ),
         # It may be repeated, at as many upstreams as the route allows.
-        (AGAIN, retry_policy.Lost("reset"), ("x",), 1, True, NextAction.RETRY),
-        (AGAIN, retry_policy.Lost("reset"), ("x",), 1, False, NextAction.FAIL),
         (
-            AGAIN,
+            REPEATABLE,
+            retry_policy.Lost("reset"),
+            ("x",),
+            1,
+            True,
+            NextAction.RETRY,
+        ),
+        (
+            REPEATABLE,
+            retry_policy.Lost("reset"),
+            ("x",),
+            1,
+            False,
+            NextAction.FAIL,
+        ),
+        (
+            REPEATABLE,
             retry_policy.Lost("reset"),
             ("x", "y"),
             2,
@@ -94,18 +108,25 @@
             NextAction.RETRY,
         ),
         # An earlier attempt may have run, so a 503 would be false.
-        (AGAIN, retry_policy.NotRun(503), ("x",), 2, False, NextAction.FAIL),
+        (
+            REPEATABLE,
+            retry_policy.NotRun(503),
+            ("x",),
+            2,
+            False,
+            NextAction.FAIL,
+        ),
     ],
 )
 def test_what_follows_a_failure(
     of, failure, possibly_ran_at, sends, may_spend, expected
 ):
-    progress = retry_policy.AttemptHistory(set(possibly_ran_at), sends, sends)
-    got = retry_policy.decide_after_failure(of, failure, progress, may_spend)
+    history = retry_policy.AttemptHistory(set(possibly_ran_at), sends, sends)
+    got = retry_policy.decide_after_failure(of, failure, history, may_spend)
     assert got is expected
 
 
-FATES = st.lists(
+OUTCOMES = st.lists(
     st.tuples(
         st.sampled_from(("not sent", "not run", "lost", "failed there")),
         st.booleans(),
@@ -117,46 +138,47 @@
 
 @settings(max_examples=600, deadline=None, derandomize=True)
 @given(
-    of=st.sampled_from((AT_MOST_ONCE, AGAIN, STREAM, RESUMABLE)), fates=FATES
+    of=st.sampled_from((AT_MOST_ONCE, REPEATABLE, STREAM, RESUMABLE)),
+    outcomes=OUTCOMES,
 )
-def test_nothing_runs_twice_and_no_refusal_is_untrue(of, fates):
+def test_nothing_runs_twice_and_no_refusal_is_untrue(of, outcomes):
     """Guards against orders that ran twice, or were refused though they ran.
 
     Attempts end in refusals, lost responses and failures in any order; a
     request whose response was lost may have run.
     """
-    progress = retry_policy.AttemptHistory()
+    history = retry_policy.AttemptHistory()
     runs = 0
-    for number, (fate, has_run) in enumerate(fates):
+    for number, (outcome, has_run) in enumerate(outcomes):
         upstream = f"u{number}"
-        progress.tries += 1
-        match fate:
+        history.tries += 1
+        match outcome:
             case "not sent":
                 failure = retry_policy.NotSent("refused")
             case "not run":
-                progress.sends += 1
+                history.sends += 1
                 failure = retry_policy.NotRun(503)
             case "lost":
-                progress.sends += 1
-                progress.possibly_ran_at.add(upstream)
+                history.sends += 1
+                history.possibly_ran_at.add(upstream)
                 runs += has_run
                 failure = retry_policy.Lost("reset")
             case _:
-                progress.sends += 1
-                progress.possibly_ran_at.add(upstream)
+                history.sends += 1
+                history.possibly_ran_at.add(upstream)
                 runs += 1
                 failure = retry_policy.FailedThere(500)
         following = retry_policy.decide_after_failure(
-            of, failure, progress, True
+            of, failure, history, True
         )
         if following is NextAction.REFUSE:
             assert runs == 0
-            assert not progress.possibly_ran_at
+            assert not history.possibly_ran_at
         if following is not NextAction.RETRY:
             break
     else:
         # The number of attempts is bounded whatever the upstreams do.
-        assert len(fates) < retry_policy.TRIES_MOST + retry_policy.SENDS_MOST
+        assert len(outcomes) < retry_policy.MAX_TRIES + retry_policy.MAX_SENDS
     assert runs <= (of.max_upstreams if of.is_retry_safe else 1)
 
 
@@ -196,8 +218,8 @@
 def test_an_instance_that_knows_of_no_others_spends_little():
     """A hundred instances without contact to each other keep the budget."""
     spent = 0
-    for number in range(retry_budget.INSTANCES_UNKNOWN):
-        part = retry_budget.rounding_offset(f"instance-{number}")
-        window = retry_budget.RetryBudget(0.2, 54.0, 10.0, part)
+    for number in range(retry_budget.ASSUMED_INSTANCES):
+        rounding = retry_budget.rounding_offset(f"instance-{number}")
+        window = retry_budget.RetryBudget(0.2, 54.0, 10.0, rounding)
         spent += sum(window.spend(1.0, None) for _ in range(100))
     assert 0 < spent <= 54.0
--- a/sesamecross/ops/fleet/roster.py
+++ b/sesamecross/ops/fleet/roster.py
@@ -14,16 +14,16 @@
 
 # An instance not heard from for this long is regarded as dead. Members send at
 # least every HEARTBEAT_INTERVAL_S (0.4 s); three in a row may be lost.
-ALIVE_S = 1.6
+LIVENESS_TIMEOUT_S = 1.6
 HEARTBEAT_INTERVAL_S = 0.4
 # Registered instances that were never heard from may be a hub for this long
 # after this instance's start: the instances of a deployment start at about the
 # same time.
-GRACE_S = 3.0
+STARTUP_GRACE_S = 3.0
 
 
 @dataclasses.dataclass(slots=True)
-class Known:
+class KnownMember:
     """An instance, and when it was last heard from."""
 
     member: fm.Member
@@ -33,33 +33,33 @@
 class Roster:
     """This instance and all others that it knows."""
 
-    __slots__ = ("me", "_known", "_began_s")
+    __slots__ = ("me", "_known", "_started_s")
 
     def __init__(self, me: fm.Member, now_s: float):
         self.me = me
-        self._known: dict[str, Known] = {}
-        self._began_s = now_s
+        self._known: dict[str, KnownMember] = {}
+        self._started_s = now_s
 
     def registered(self, members: Iterable[fm.Member]) -> None:
         """Adds instances from the store's list."""
         for member in members:
             if member.name != self.me.name:
-                self._take(member, None)
+                self._update(member, None)
 
     def heard(self, member: fm.Member, now_s: float) -> bool:
-        """Records a message from an instance, or a hub's word that it is alive.
+        """Records a message from an instance, or a hub's report that it lives.
 
         Returns:
           False if it is an earlier incarnation of an instance, or this one.
         """
         if member.name == self.me.name:
             return False
-        return self._take(member, now_s)
+        return self._update(member, now_s)
 
-    def _take(self, member: fm.Member, heard_s: float | None) -> bool:
+    def _update(self, member: fm.Member, heard_s: float | None) -> bool:
         known = self._known.get(member.name)
         if known is None:
-            self._known[member.name] = Known(member, heard_s)
+            self._known[member.name] = KnownMember(member, heard_s)
             return True
         if member.incarnation < known.member.incarnation:
             return False
@@ -83,7 +83,7 @@
         return (
             known is not None
             and known.heard_s is not None
-            and now_s - known.heard_s < ALIVE_S
+            and now_s - known.heard_s < LIVENESS_TIMEOUT_S
         )
 
     def alive(self, now_s: float) -> list[fm.Member]:
@@ -95,7 +95,7 @@
         ]
 
     def silent(self, now_s: float) -> list[fm.Member]:
-        """Returns the other instances that are not, sorted by name."""
+        """Returns the other instances that are not alive, sorted by name."""
         return [
             known.member
             for name, known in sorted(self._known.items())
@@ -104,7 +104,7 @@
 
     def hub_of(self, zone: str, now_s: float) -> str | None:
         """Returns the name of a zone's hub, or None if it has no members."""
-        is_early = now_s - self._began_s < GRACE_S
+        is_early = now_s - self._started_s < STARTUP_GRACE_S
         names = [
             name
             for name, known in self._known.items()
--- a/sesamecross/ops/fleet/service_choice.py
+++ b/sesamecross/ops/fleet/service_choice.py
@@ -13,16 +13,16 @@
 
 # Round trips. One way takes a millisecond or less between zones of a region and
 # tens of milliseconds between regions; some requests open a new connection.
-ZONE_S = 0.002
-REGION_S = 0.045
+CROSS_ZONE_S = 0.002
+CROSS_REGION_S = 0.045
 # Cost of a failure: the caller's latency objective is missed, and usually the
 # whole response is lost.
-FAILURE_S = 1.0
+FAILURE_PENALTY_S = 1.0
 # Assumed duration of a request at an upstream that has not completed any.
-START_WORK_S = 0.05
+INITIAL_DURATION_S = 0.05
 # Candidates this close to the best are chosen from at random, so that instances
 # with the same view do not all choose the same upstream.
-NEAR_S = 0.003
+TIE_TOLERANCE_S = 0.003
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -37,21 +37,21 @@
         if zone == self.zone:
             return 0.0
         if self.regions.get(zone) == self.regions.get(self.zone):
-            return ZONE_S
-        return REGION_S
+            return CROSS_ZONE_S
+        return CROSS_REGION_S
 
 
 def expected_s(
     known: directory.KnownUpstream, location: Location, now_s: float
 ) -> float:
     """Returns the expected time to a response, with the cost of failures."""
-    work_s = known.work_s or START_WORK_S
+    duration_s = known.mean_duration_s or INITIAL_DURATION_S
     slots = max(1, known.entry.slots)
-    waiting = max(0.0, known.running + 1 - slots)
+    overflow = max(0.0, known.running + 1 - slots)
     return (
         location.round_trip_s(known.entry.zone)
-        + work_s * (1 + waiting / slots)
-        + known.failing(now_s) * FAILURE_S
+        + duration_s * (1 + overflow / slots)
+        + known.failing(now_s) * FAILURE_PENALTY_S
     )
 
 
@@ -62,9 +62,16 @@
     rng: random.Random,
 ) -> directory.KnownUpstream | None:
     """Returns the candidate with the least expected time, or None."""
-    rated = [(expected_s(one, location, now_s), one) for one in candidates]
+    rated = [
+        (expected_s(candidate, location, now_s), candidate)
+        for candidate in candidates
+    ]
     if not rated:
         return None
-    best_s = min(rate for rate, _ in rated)
-    near = [one for rate, one in rated if rate <= best_s + NEAR_S]
-    return rng.choice(near)
+    best_s = min(cost_s for cost_s, _ in rated)
+    close = [
+        candidate
+        for cost_s, candidate in rated
+        if cost_s <= best_s + TIE_TOLERANCE_S
+    ]
+    return rng.choice(close)
--- a/sesamecross/ops/fleet/stopping.py
+++ b/sesamecross/ops/fleet/stopping.py
@@ -20,10 +20,10 @@
 # within the rest of the grace period.
 ACCEPT_ALL_S = 2.2
 # A stream's wait for its turn and for its first event.
-FIRST_S = 1.0
+FIRST_EVENT_S = 1.0
 # Time per token at an engine with a full batch: 83 ms for an event of six
 # tokens, plus half.
-TOKEN_S = 0.02
+TOKEN_INTERVAL_S = 0.02
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -53,7 +53,10 @@
             return False
         if now_s - self.begun_s < ACCEPT_ALL_S:
             return True
-        lasts_s = route.timeout_s
+        duration_s = route.timeout_s
         if call is not None:
-            lasts_s = min(lasts_s, FIRST_S + call.output_tokens * TOKEN_S)
-        return now_s + lasts_s <= self.ends_s
+            duration_s = min(
+                duration_s,
+                FIRST_EVENT_S + call.output_tokens * TOKEN_INTERVAL_S,
+            )
+        return now_s + duration_s <= self.ends_s
--- a/sesamecross/ops/fleet/store_polling.py
+++ b/sesamecross/ops/fleet/store_polling.py
@@ -19,7 +19,7 @@
 READ_INTERVAL_S = 0.7
 # Upstreams renew their records every 1 to 1.2 s, so the list changes several
 # times per second. A hub that has read nothing for this long may be unable to.
-STALLED_S = 1.2
+STALL_TIMEOUT_S = 1.2
 # Maximum backoff between calls that the store does not answer. With that of a
 # reader, the bounds on configuration and leaving upstreams, which allow 2.5 s
 # and more, still hold once the store is back. Members learn of that from their
@@ -40,32 +40,35 @@
 class HubProgress:
     """Progress of the zone's hub in reading the list."""
 
-    __slots__ = ("_name", "_end", "_moved_s")
+    __slots__ = ("_name", "_end", "_advanced_s")
 
     def __init__(self) -> None:
         self._name = ""
         self._end = -1
-        self._moved_s: float | None = None
+        self._advanced_s: float | None = None
 
     def record_position(self, name: str, end: int, now_s: float) -> None:
         """Records the offset up to which a hub reports to have read."""
         if name != self._name or end > self._end:
             self._name = name
             self._end = end
-            self._moved_s = now_s
+            self._advanced_s = now_s
 
     def is_stalled(self, now_s: float) -> bool:
         """Whether its members have to read the store themselves."""
-        return self._moved_s is None or now_s - self._moved_s > STALLED_S
+        return (
+            self._advanced_s is None
+            or now_s - self._advanced_s > STALL_TIMEOUT_S
+        )
 
 
 class Lag:
     """Measures how long other instances have known more than this one."""
 
-    __slots__ = ("_lacks", "_since_s")
+    __slots__ = ("_missing", "_since_s")
 
     def __init__(self) -> None:
-        self._lacks: Progress | None = None
+        self._missing: Progress | None = None
         self._since_s = 0.0
 
     def duration_s(
@@ -82,10 +85,10 @@
           now_s: Monotonic time.
         """
         if best is None:
-            self._lacks = None
+            self._missing = None
             return 0.0
-        lacks = self._lacks
-        if lacks is None or (mine[0] >= lacks[0] and mine[1] >= lacks[1]):
-            self._lacks = best
+        missing = self._missing
+        if missing is None or (mine[0] >= missing[0] and mine[1] >= missing[1]):
+            self._missing = best
             self._since_s = now_s
         return now_s - self._since_s
--- a/sesamecross/ops/fleet/topic_records.py
+++ b/sesamecross/ops/fleet/topic_records.py
@@ -41,8 +41,10 @@
 
     def since(self, end: int) -> tuple[store.KeyedRecord, ...]:
         """Returns the records from offset `end` on, ordered by offset."""
-        newer = [one for one in self.records.values() if one.offset >= end]
-        return tuple(sorted(newer, key=lambda one: one.offset))
+        newer = [
+            record for record in self.records.values() if record.offset >= end
+        ]
+        return tuple(sorted(newer, key=lambda record: record.offset))
 
     def keys(self) -> set[str]:
         """Returns the keys that are not deleted."""
--- a/sesamecross/ops/fleet/wait_policy.py
+++ b/sesamecross/ops/fleet/wait_policy.py
@@ -12,37 +12,37 @@
 # Callers give up on a stream after the longest of these: a time in seconds, a
 # multiple of the latency objective, and a multiple of the maximum gap between
 # events. The platform defines these figures.
-GAP_S = 2.0
-GAP_OBJECTIVES = 4.0
-GAP_PAUSES = 8.0
+PATIENCE_S = 2.0
+PATIENCE_OBJECTIVES = 4.0
+PATIENCE_GAPS = 8.0
 # Deducted from the caller's patience for the round trip and the prefill.
-MARGIN_S = 0.3
+SEND_MARGIN_S = 0.3
 # A request for a model without a planned load waits this long for one: the
 # round trip to the lease holder, between regions, and the engine's answer to
 # the order.
-NEWS_S = 0.2
+PLAN_WAIT_S = 0.2
 # An expected time that passed longer ago than this was wrong: the order was
 # lost, or the lease holder is gone. Callers that rely on it retry seconds too
 # early.
-SLIP_S = 0.5
+OVERDUE_S = 0.5
 # After this long without requests for a missing model, the next request waits
 # for a planned load again.
-MISSED_AGAIN_S = 1.0
+MISS_RESET_S = 1.0
 # A request whose adapter is missing waits this share of its patience for it.
-ADAPTER_SHARE = 0.35
+ADAPTER_WAIT_SHARE = 0.35
 # Time after which a request that uses an adapter has probably ended.
-ADAPTER_BACK_S = 2.0
+ADAPTER_RETRY_AFTER_S = 2.0
 # Expected time until a model without a planned load is available: the requests
 # of a model that is evicted take 2 to 4 s to end, and the load 0.5 to 4 s.
-NO_PLACE_S = 4.0
+UNPLANNED_RETRY_AFTER_S = 4.0
 # Callers retry after at most this share of their remaining time.
-BACK_SHARE = 1 / 3
-LEAST_BACK_S = 0.1
+MAX_RETRY_AFTER_SHARE = 1 / 3
+MIN_RETRY_AFTER_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wait:
-    """Wait until then at most, and decide again on news of the model."""
+    """Wait until then at most; decide again if the placement changes."""
 
     until_s: float
 
@@ -59,7 +59,9 @@
     if route.kind is not serving.RouteKind.STREAM:
         return route.timeout_s
     return max(
-        GAP_S, GAP_OBJECTIVES * route.objective_s, GAP_PAUSES * route.gap_s
+        PATIENCE_S,
+        PATIENCE_OBJECTIVES * route.objective_s,
+        PATIENCE_GAPS * route.gap_s,
     )
 
 
@@ -67,7 +69,7 @@
     route: serving.Route, arrived_s: float, ends_s: float
 ) -> float:
     """Returns when a request can be sent at the latest to still be served."""
-    return min(ends_s, arrived_s + patience_s(route)) - MARGIN_S
+    return min(ends_s, arrived_s + patience_s(route)) - SEND_MARGIN_S
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -97,7 +99,7 @@
     def since(self, model: str, now_s: float) -> float:
         """Records a request for a missing model; returns since when it is."""
         first_s, last_s = self._seen.get(model, (now_s, now_s))
-        if now_s - last_s > MISSED_AGAIN_S:
+        if now_s - last_s > MISS_RESET_S:
             # Information on it from that time is outdated.
             first_s = now_s
         self._seen[model] = (first_s, now_s)
@@ -105,18 +107,18 @@
 
 
 def decide_model(
-    window: RequestTimes,
-    arrives_s: float | None,
+    times: RequestTimes,
+    ready_at_s: float | None,
     missed_s: float,
     now_s: float,
 ) -> Wait | RetryAfter:
     """Decides whether a request waits for its model.
 
     When more models are requested than fit, holding each request for a model
-    without a place for 0.6 s before a refusal made up a third of all refusals:
-    the caller loses the time and learns nothing. So only the first request that
-    misses a model waits for a planned load, and later ones are refused at once
-    until there is one.
+    without a replica for 0.6 s before a refusal made up a third of all
+    refusals: the caller loses the time and learns nothing. So only the first
+    request that misses a model waits for a planned load, and later ones are
+    refused at once until there is one.
 
     Args:
       times: The request's times.
@@ -124,31 +126,35 @@
       missed_s: Since when requests at this instance have missed it.
       now_s: Monotonic time.
     """
-    if arrives_s is None or arrives_s < now_s - SLIP_S:
-        until_s = min(window.send_deadline_s, missed_s + NEWS_S)
+    if ready_at_s is None or ready_at_s < now_s - OVERDUE_S:
+        until_s = min(times.send_deadline_s, missed_s + PLAN_WAIT_S)
         if now_s < until_s:
             return Wait(until_s)
-        return RetryAfter(retry_after_s(NO_PLACE_S, window.ends_s, now_s))
-    if arrives_s <= window.send_deadline_s and now_s < window.send_deadline_s:
-        return Wait(min(window.send_deadline_s, max(arrives_s, now_s) + SLIP_S))
-    wished_s = max(arrives_s - now_s, SLIP_S)
-    return RetryAfter(retry_after_s(wished_s, window.ends_s, now_s))
-
-
-def decide_adapter(window: RequestTimes, now_s: float) -> Wait | RetryAfter:
+        return RetryAfter(
+            retry_after_s(UNPLANNED_RETRY_AFTER_S, times.ends_s, now_s)
+        )
+    if ready_at_s <= times.send_deadline_s and now_s < times.send_deadline_s:
+        return Wait(
+            min(times.send_deadline_s, max(ready_at_s, now_s) + OVERDUE_S)
+        )
+    desired_s = max(ready_at_s - now_s, OVERDUE_S)
+    return RetryAfter(retry_after_s(desired_s, times.ends_s, now_s))
+
+
+def decide_adapter(times: RequestTimes, now_s: float) -> Wait | RetryAfter:
     """Decides whether a request waits for an adapter of a loaded model.
 
     Loading an adapter takes some milliseconds; it is delayed only if all
     adapter slots are in use.
     """
-    waits_s = (window.send_deadline_s - window.arrived_s) * ADAPTER_SHARE
-    until_s = window.arrived_s + waits_s
+    waits_s = (times.send_deadline_s - times.arrived_s) * ADAPTER_WAIT_SHARE
+    until_s = times.arrived_s + waits_s
     if now_s < until_s:
         return Wait(until_s)
-    return RetryAfter(retry_after_s(ADAPTER_BACK_S, window.ends_s, now_s))
+    return RetryAfter(retry_after_s(ADAPTER_RETRY_AFTER_S, times.ends_s, now_s))
 
 
-def retry_after_s(wished_s: float, ends_s: float, now_s: float) -> float:
+def retry_after_s(desired_s: float, ends_s: float, now_s: float) -> float:
     """Returns when to retry, limited by the time that the caller has left."""
-    most_s = (ends_s - now_s) * BACK_SHARE
-    return max(LEAST_BACK_S, min(wished_s, most_s))
+    max_s = (ends_s - now_s) * MAX_RETRY_AFTER_SHARE
+    return max(MIN_RETRY_AFTER_S, min(desired_s, max_s))
