--- a/sesamecross/ops/fleet/lease.py
+++ b/sesamecross/ops/fleet/lease.py
@@ -96,7 +96,7 @@
         "_exited_s",
         "_sent_s",
         "_unanswered_since_s",
-        "_first_order_after_take_s",
+        "_first_order_after_acquire_s",
         "_fence",
         "_valid_until_s",
         "_first_order_s",
@@ -120,7 +120,7 @@
         # When the oldest unanswered write was sent. An own record that is read
         # later may come from that write, so it is valid no longer than that.
         self._unanswered_since_s: float | None = None
-        self._first_order_after_take_s = 0.0
+        self._first_order_after_acquire_s = 0.0
         self._fence: int | None = None
         self._valid_until_s = 0.0
         self._first_order_s = 0.0
@@ -197,7 +197,7 @@
         return ReadLease()
 
     def _acquire(self, now_s: float) -> WriteLease:
-        self._first_order_after_take_s = max(now_s, self._gap_end_s())
+        self._first_order_after_acquire_s = max(now_s, self._gap_end_s())
         return self._write(now_s)
 
     def _write(self, now_s: float) -> WriteLease:
@@ -287,7 +287,7 @@
     def _apply_write(self, record: Record, sent_s: float) -> None:
         if self._fence != record.fence:
             self._fence = record.fence
-            self._first_order_s = self._first_order_after_take_s
+            self._first_order_s = self._first_order_after_acquire_s
         self._valid_until_s = sent_s + LEASE_DURATION_S - EXPIRY_MARGIN_S
 
     def conflict(self) -> None:
