--- a/sesamecross/fakes/placement_simulation.py
+++ b/sesamecross/fakes/placement_simulation.py
@@ -12,8 +12,8 @@
 import enum
 
 from sesamecross.core import serving
-from sesamecross.fakes import engine_holdings
 from sesamecross.fakes import samples
+from sesamecross.fakes import simulated_engine
 from sesamecross.gateway import placement_controller
 from sesamecross.gateway import state as state_lib
 from sesamecross.runtime import metrics as metrics_lib
@@ -31,7 +31,7 @@
 TICK_S = 0.05
 # Engines describe themselves as they were up to this long ago.
 REPORT_LAG_S = 0.3
-ROOM = engine_holdings.Room(
+ROOM = simulated_engine.EngineCapacity(
     dict.fromkeys(MODELS, MODEL_MB), ROOM_MB, ADAPTER_MB, ADAPTER_SLOTS
 )
 SPEC = serving.EngineSpec(
@@ -129,11 +129,11 @@
     """
 
     def __init__(self, models: tuple[str, ...] = ("m",)) -> None:
-        self.engine = engine_holdings.EngineHoldings(ROOM, models)
+        self.engine = simulated_engine.SimulatedEngine(ROOM, models)
         self.deliveries: collections.deque[Delivery] = collections.deque()
         self.report_age_s = 0.0
-        self.late: list[engine_holdings.Order] = []
-        self.wanted: set[str] = set()
+        self.delayed_orders: list[simulated_engine.Order] = []
+        self.requested_targets: set[str] = set()
         self.answered: list[_Answered] = []
         self.metrics = metrics_lib.Metrics()
         self.state = state_lib.State(samples.INSTANCE)
@@ -145,12 +145,12 @@
         self._snapshots: collections.deque = collections.deque()
         self._loop = asyncio.new_event_loop()
         self._loop.time = lambda: self._now_s
-        self.desk = self._new_desk()
+        self.controller = self._new_desk()
         self._register()
 
     def close(self) -> None:
         """Ends the loop."""
-        self._loop.run_until_complete(self.desk.stop())
+        self._loop.run_until_complete(self.controller.stop())
         self._loop.close()
 
     # -- what the desk calls ---------------------------------------------
@@ -169,14 +169,14 @@
     async def order(self, order: serving.EngineOrder) -> serving.OrderAnswer:
         """Lets an order arrive, late, twice or not at all."""
         target = f"{order.model}/{order.adapter}".rstrip("/")
-        sent = engine_holdings.Order(
+        sent = simulated_engine.Order(
             order.loads, target, order.expected_order_count
         )
         fate = (
             self.deliveries.popleft() if self.deliveries else Delivery.ANSWERED
         )
         if fate is Delivery.LATE:
-            self.late.append(sent)
+            self.delayed_orders.append(sent)
             return serving.OrderAnswer.UNKNOWN
         answer = self._arrive(sent)
         if fate is Delivery.DOUBLED:
@@ -186,7 +186,7 @@
         self.answered.append(_Answered(order, answer))
         return answer
 
-    def _arrive(self, order: engine_holdings.Order) -> serving.OrderAnswer:
+    def _arrive(self, order: simulated_engine.Order) -> serving.OrderAnswer:
         was_busy = self.engine.is_busy
         answer = self.engine.apply(order)
         if self.engine.is_busy and not was_busy:
@@ -198,21 +198,21 @@
 
     def arrives_late(self) -> None:
         """Lets the oldest order on its way arrive after all."""
-        if self.late:
-            self._arrive(self.late.pop(0))
+        if self.delayed_orders:
+            self._arrive(self.delayed_orders.pop(0))
 
-    def begin_use(self, target: str, is_told: bool = True) -> None:
+    def begin_request(self, target: str, is_reported: bool = True) -> None:
         """A request begins to run; the giver of orders hears of it or not."""
-        if not self.engine.answers(target):
+        if not self.engine.can_serve(target):
             return
-        self.engine.begin_use(target)
-        if is_told:
+        self.engine.begin_request(target)
+        if is_reported:
             self.tell_uses()
 
-    def end_use(self, target: str) -> None:
+    def end_request(self, target: str) -> None:
         """A request ends, and everybody hears of it."""
-        if self.engine.uses.get(target):
-            self.engine.end_use(target)
+        if self.engine.running_requests.get(target):
+            self.engine.end_request(target)
             self.tell_uses()
             self._remember()
 
@@ -220,7 +220,7 @@
         """The giver of orders hears which requests run."""
         self.state.fleet_uses = {
             (ENGINE, target): count
-            for target, count in self.engine.uses.items()
+            for target, count in self.engine.running_requests.items()
         }
 
     def restart(self) -> None:
@@ -229,8 +229,8 @@
         Orders that are still on their way were meant for the one before.
         """
         self._born_ms += 1
-        self.engine = engine_holdings.EngineHoldings(ROOM, ())
-        self.late.clear()
+        self.engine = simulated_engine.SimulatedEngine(ROOM, ())
+        self.delayed_orders.clear()
         self._loaded_at_s = None
         self._snapshots.clear()
         self.tell_uses()
@@ -238,8 +238,8 @@
 
     def change_holder(self) -> None:
         """Another instance gives orders from now on, with empty books."""
-        self._loop.run_until_complete(self.desk.stop())
-        self.desk = self._new_desk()
+        self._loop.run_until_complete(self.controller.stop())
+        self.controller = self._new_desk()
 
     def run(self, seconds: float) -> None:
         """Lets time pass."""
@@ -255,10 +255,10 @@
                 self._loaded_at_s = None
                 self._register()
         self._remember()
-        for target in sorted(self.wanted):
+        for target in sorted(self.requested_targets):
             upstream = ENGINE if "/" in target else ""
-            self.desk.want(SERVICE, target, upstream)
-        self.desk._tick(self._now_s)
+            self.controller.want(SERVICE, target, upstream)
+        self.controller._tick(self._now_s)
         for _ in range(_TURNS_OF_THE_LOOP):
             await asyncio.sleep(0)
 
--- a/sesamecross/fakes/platform_caller.py
+++ b/sesamecross/fakes/platform_caller.py
@@ -51,7 +51,7 @@
         self,
         front: tuple[str, int],
         path: str,
-        kept: http.client.HTTPConnection | None = None,
+        reused: http.client.HTTPConnection | None = None,
         receive_buffer: int | None = None,
     ):
         """Opens the connection; nothing is sent.
@@ -66,7 +66,7 @@
         self.body = f"body of {self.request_id}".encode()
         self._path = path
         self._front = front
-        self.connection = kept or self._connect(receive_buffer)
+        self.connection = reused or self._connect(receive_buffer)
         self._response: http.client.HTTPResponse | None = None
         self._read = b""
 
--- a/sesamecross/fakes/platform_instance.py
+++ b/sesamecross/fakes/platform_instance.py
@@ -35,7 +35,7 @@
 _hosts = itertools.count()
 
 
-class Ended(Exception):
+class ProcessEnded(Exception):
     """The process ended while something was expected of it."""
 
 
@@ -177,7 +177,9 @@
                 found.append(line)
         return found
 
-    def wait_line(self, beginning: str, count: int = 1, **fields: Any) -> None:
+    def wait_log_line(
+        self, beginning: str, count: int = 1, **fields: Any
+    ) -> None:
         """Waits until that many log lines are there.
 
         Raises:
@@ -189,13 +191,13 @@
 
         self._wait(is_there, f"{count} of {beginning!r} {fields}")
 
-    def wait_new_line(
+    def wait_new_log_line(
         self, beginning: str, act: Callable[[], None], **fields: Any
     ) -> None:
         """Acts, and waits for one log line more than there was before."""
         before = len(self.lines(beginning, **fields))
         act()
-        self.wait_line(beginning, before + 1, **fields)
+        self.wait_log_line(beginning, before + 1, **fields)
 
     def _wait(self, holds: Callable[[], bool], what: str) -> None:
         def is_over() -> bool:
@@ -203,4 +205,4 @@
 
         processes.wait_for(is_over, what, HANG_S, _PAUSE_S)
         if not holds():
-            raise Ended(f"exit code {self.exit_code()} before {what}")
+            raise ProcessEnded(f"exit code {self.exit_code()} before {what}")
--- a/sesamecross/fakes/platform_site.py
+++ b/sesamecross/fakes/platform_site.py
@@ -29,7 +29,7 @@
     ARCHIVE: "unsafe",
 }
 # Their answers are held until the test lets go; the others answer at once.
-BY_HAND = (WRITERS, LEDGER)
+HELD_SERVICES = (WRITERS, LEDGER)
 # Longer than any test: no request may end by its time. Requests to the desk
 # come while a process stops, and would be refused if they could outlast it.
 TIMEOUTS_MS = {
@@ -136,18 +136,18 @@
         for one in ended:
             one.result()
 
-    def begin(self) -> None:
+    def prepare(self) -> None:
         """Puts everything as it is before an event."""
         self.publish()
         for service in PATHS:
             if service not in self.upstreams:
                 self.add_upstream(service)
-            if service in BY_HAND:
+            if service in HELD_SERVICES:
                 self.upstreams[service].hold()
         if not self.gateway.is_running:
             self.gateway.start()
             self.gateway.wait_ready()
-        self.wait_known()
+        self.wait_until_known()
 
     def publish(self, **changes: Any) -> None:
         """Writes the next version of the configuration."""
@@ -170,16 +170,18 @@
             ARCHIVE_BYTES if service == ARCHIVE else ANSWER_BYTES,
         )
         one.start()
-        if service not in BY_HAND:
-            one.let_go()
+        if service not in HELD_SERVICES:
+            one.release_answers()
         self.upstreams[service] = one
         return before
 
-    def wait_known(self) -> None:
+    def wait_until_known(self) -> None:
         """Waits until the gateway knows all that the store holds."""
-        self.gateway.wait_line("configuration: in force", version=self.version)
+        self.gateway.wait_log_line(
+            "configuration: in force", version=self.version
+        )
         for one in self.upstreams.values():
-            self.gateway.wait_line("upstreams: seen", id=one.instance_id)
+            self.gateway.wait_log_line("upstreams: seen", id=one.instance_id)
 
     def all_upstreams(self) -> list[platform_upstream.PlatformUpstream]:
         """Returns the upstreams of all services, also those replaced."""
--- a/sesamecross/fakes/platform_upstream.py
+++ b/sesamecross/fakes/platform_upstream.py
@@ -21,8 +21,8 @@
 
 from sesamecross.core import serving
 from sesamecross.fakes import base
-from sesamecross.fakes import engine_holdings
 from sesamecross.fakes import platform_store
+from sesamecross.fakes import simulated_engine
 from sesamecross.runtime import http_server
 
 EVENTS = 10
@@ -30,7 +30,7 @@
 EVENTS_BEFORE = 5
 _LOOK_S = 0.01
 # Everything fits: tests of room use the holdings by themselves.
-_ROOM = engine_holdings.Room(
+_ROOM = simulated_engine.EngineCapacity(
     collections.defaultdict(float), float("inf"), 0.0, 1000
 )
 _STATUS = {
@@ -87,7 +87,7 @@
         self._store = store
         self._service = service
         self._zone = zone
-        self._holdings = engine_holdings.EngineHoldings(_ROOM, models)
+        self._holdings = simulated_engine.SimulatedEngine(_ROOM, models)
         self._answer_bytes = answer_bytes
         self._born = int(time.time() * 1000)
         self._lock = threading.Lock()
@@ -105,7 +105,7 @@
     def shut_down(self) -> None:
         """Removes its entry and ends."""
         self.unregister()
-        self.let_go()
+        self.release_answers()
         self.server.shut_down()
 
     def register(self, state: str = "ready") -> None:
@@ -131,7 +131,7 @@
         """Removes its entry."""
         self._store.drop(platform_store.UPSTREAMS_TOPIC, self.instance_id)
 
-    def let_go(self) -> None:
+    def release_answers(self) -> None:
         """Sends what is held, and holds nothing from now on."""
         self._let_go.set()
 
@@ -174,7 +174,7 @@
         target = order["model"]
         if order.get("adapter"):
             target = f"{target}/{order['adapter']}"
-        sent = engine_holdings.Order(
+        sent = simulated_engine.Order(
             order["operation"] == "load", target, order.get("precondition")
         )
         with self._lock:
@@ -232,7 +232,7 @@
         events = _events(run.request_id)
         is_whole = False
         with self._lock:
-            self._holdings.begin_use(target)
+            self._holdings.begin_request(target)
         try:
             yield b"".join(events[:EVENTS_BEFORE])
             self._hold(run, caller)
@@ -241,7 +241,7 @@
         finally:
             run.is_cut = run.is_cut or not is_whole
             with self._lock:
-                self._holdings.end_use(target)
+                self._holdings.end_request(target)
                 self._holdings.complete()
 
     def _hold(self, run: Run, caller: socket.socket) -> None:
--- a/sesamecross/fakes/engine_holdings.py
+++ b/sesamecross/fakes/simulated_engine.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Room:
+class EngineCapacity:
     """What fits an engine.
 
     Attributes:
@@ -45,7 +45,7 @@
     adapter_slots: int
 
 
-class EngineHoldings:
+class SimulatedEngine:
     """One life of an engine.
 
     Attributes:
@@ -56,7 +56,7 @@
       is_overloaded: Whether it was ever ordered to load more than fits.
     """
 
-    def __init__(self, room: Room, models: tuple[str, ...] = ()):
+    def __init__(self, room: EngineCapacity, models: tuple[str, ...] = ()):
         self.orders = 0
         self.models = set(models)
         self.adapters: set[str] = set()
@@ -64,7 +64,7 @@
         self.departing: set[str] = set()
         self.loading: str | None = None
         self.unloading: str | None = None
-        self.is_overloaded = False
+        self.was_overcommitted = False
         self._room = room
         self._uses: dict[str, int] = {}
 
@@ -74,11 +74,11 @@
         return self.loading is not None or self.unloading is not None
 
     @property
-    def uses(self) -> dict[str, int]:
+    def running_requests(self) -> dict[str, int]:
         """Requests under way by target."""
         return self._uses
 
-    def answers(self, target: str) -> bool:
+    def can_serve(self, target: str) -> bool:
         """Whether a request for a target would run."""
         model = target.partition("/")[0]
         if model not in self.models or model == self.unloading:
@@ -143,7 +143,7 @@
             used_mb > self._room.weights_mb
             or len(adapters) > self._room.adapter_slots
         ):
-            self.is_overloaded = True
+            self.was_overcommitted = True
 
     # -- what happens by itself ------------------------------------------
 
@@ -165,11 +165,11 @@
                 held -= {one for one in held if one.startswith(gone)}
             self.unloading = None
 
-    def begin_use(self, target: str) -> None:
+    def begin_request(self, target: str) -> None:
         """A request for a target begins to run."""
         self._uses[target] = self._uses.get(target, 0) + 1
 
-    def end_use(self, target: str) -> None:
+    def end_request(self, target: str) -> None:
         """A request for a target ends."""
         self._uses[target] -= 1
         if self._uses[target]:
--- a/sesamecross/fakes/engine_holdings_test.py
+++ b/sesamecross/fakes/simulated_engine_test.py
@@ -3,18 +3,18 @@
 import pytest
 
 from sesamecross.core import serving
-from sesamecross.fakes import engine_holdings as lib
+from sesamecross.fakes import simulated_engine as lib
 
-ROOM = lib.Room({"m": 40.0, "n": 40.0, "o": 40.0}, 82.0, 1.0, 2)
+ROOM = lib.EngineCapacity({"m": 40.0, "n": 40.0, "o": 40.0}, 82.0, 1.0, 2)
 ACCEPTED = serving.OrderAnswer.ACCEPTED
 ALREADY_DONE = serving.OrderAnswer.ALREADY_DONE
 CONFLICT = serving.OrderAnswer.CONFLICT
 REFUSED = serving.OrderAnswer.REFUSED
 
 
-def engine() -> lib.EngineHoldings:
+def engine() -> lib.SimulatedEngine:
     """Returns one that holds a model and an idle adapter: one order."""
-    one = lib.EngineHoldings(ROOM, ("m",))
+    one = lib.SimulatedEngine(ROOM, ("m",))
     one.apply(lib.Order(True, "m/a1", None))
     one.complete()
     return one
@@ -41,23 +41,23 @@
 def test_orders(loads, target, is_used, answer, counts):
     one = engine()
     if is_used:
-        one.begin_use("m/a1")
+        one.begin_request("m/a1")
     before = one.orders
     assert one.apply(lib.Order(loads, target, before)) is answer
     assert one.orders - before == counts
-    assert not one.is_overloaded
+    assert not one.was_overcommitted
 
 
 def test_an_adapter_that_departs_is_listed_until_its_requests_end():
     one = engine()
-    one.begin_use("m/a1")
+    one.begin_request("m/a1")
     one.apply(lib.Order(False, "m/a1", None))
     before = one.orders
     assert one.apply(lib.Order(False, "m/a1", None)) is ALREADY_DONE
     assert one.orders == before
     assert one.held() == (serving.ResidentModel("m", frozenset({"a1"})),)
-    assert not one.answers("m/a1")
-    one.end_use("m/a1")
+    assert not one.can_serve("m/a1")
+    one.end_request("m/a1")
     assert one.held() == (serving.ResidentModel("m"),)
 
 
@@ -77,22 +77,22 @@
 ]
 
 
-@pytest.mark.parametrize(("targets", "is_overloaded"), LOADS)
-def test_more_than_fits_is_noted(targets, is_overloaded):
+@pytest.mark.parametrize(("targets", "was_overcommitted"), LOADS)
+def test_more_than_fits_is_noted(targets, was_overcommitted):
     one = engine()
     for target in targets:
         one.apply(lib.Order(True, target, None))
         one.complete()
-    assert one.is_overloaded is is_overloaded
+    assert one.was_overcommitted is was_overcommitted
 
 
 def test_an_unloaded_model_goes_with_its_adapters_once_nobody_uses_it():
     one = engine()
-    one.begin_use("m/a1")
+    one.begin_request("m/a1")
     one.apply(lib.Order(False, "m", None))
     one.complete()
     assert one.is_busy
-    one.end_use("m/a1")
+    one.end_request("m/a1")
     one.complete()
     assert not one.is_busy
     assert not one.models | one.adapters
--- a/sesamecross/fakes/jumping_loop.py
+++ b/sesamecross/fakes/virtual_time_loop.py
@@ -17,7 +17,7 @@
         return super().select(0)
 
 
-class JumpingLoop(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """An event loop whose time is only what is waited for or worked."""
 
     def __init__(self) -> None:
--- a/sesamecross/gateway/app_test.py
+++ b/sesamecross/gateway/app_test.py
@@ -17,8 +17,8 @@
 
 from sesamecross.core import fleet_messages as fm
 from sesamecross.core import serving
-from sesamecross.fakes import jumping_loop
 from sesamecross.fakes import samples
+from sesamecross.fakes import virtual_time_loop
 from sesamecross.gateway import app as app_lib
 from sesamecross.gateway import connection_pool as connection_pool_lib
 from sesamecross.gateway import engine_search
@@ -592,7 +592,9 @@
                 await component.stop()
         return loop.time() - begun_s
 
-    with asyncio.Runner(loop_factory=jumping_loop.JumpingLoop) as runner:
+    with asyncio.Runner(
+        loop_factory=virtual_time_loop.VirtualTimeLoop
+    ) as runner:
         assert runner.run(run_scenario()) <= grace_s
 
 
@@ -833,7 +835,9 @@
         await app.drain()
         return begun_s
 
-    with asyncio.Runner(loop_factory=jumping_loop.JumpingLoop) as runner:
+    with asyncio.Runner(
+        loop_factory=virtual_time_loop.VirtualTimeLoop
+    ) as runner:
         begun_s = runner.run(run_scenario())
     share = (shutdown_times_s[0] - begun_s) / grace_s
     assert 5 / 6 <= share < 1
--- a/sesamecross/gateway/engine_tracker_test.py
+++ b/sesamecross/gateway/engine_tracker_test.py
@@ -49,10 +49,10 @@
         simulation.run(1.0)
         # An order of another holder, which the tracker does not know of.
         simulation.engine.orders += 1
-        simulation.wanted = {"m/a1"}
+        simulation.requested_targets = {"m/a1"}
         with structlog.testing.capture_logs() as lines:
             simulation.run(2.0)
-        assert simulation.engine.answers("m/a1")
+        assert simulation.engine.can_serve("m/a1")
     finally:
         simulation.close()
     refused = [line for line in lines if line["event"] == "refused in a row"]
--- a/sesamecross/gateway/mesh_load_test.py
+++ b/sesamecross/gateway/mesh_load_test.py
@@ -10,8 +10,8 @@
 
 from sesamecross.core import fleet_messages as fm
 from sesamecross.core import serving
-from sesamecross.fakes import jumping_loop
 from sesamecross.fakes import samples
+from sesamecross.fakes import virtual_time_loop
 from sesamecross.gateway import mesh as mesh_lib
 from sesamecross.gateway import state as state_lib
 from sesamecross.ops.fleet import roster as roster_lib
@@ -116,7 +116,9 @@
         running.cancel()
         return mesh, transport
 
-    with asyncio.Runner(loop_factory=jumping_loop.JumpingLoop) as runner:
+    with asyncio.Runner(
+        loop_factory=virtual_time_loop.VirtualTimeLoop
+    ) as runner:
         return runner.run(run())
 
 
--- a/sesamecross/gateway/placement_controller_engine_state_test.py
+++ b/sesamecross/gateway/placement_controller_engine_state_test.py
@@ -25,18 +25,18 @@
 def hold_adapters(simulation, *targets) -> None:
     """Lets requests wait for adapters until the engine holds them."""
     for target in targets:
-        simulation.wanted = {target}
+        simulation.requested_targets = {target}
         simulation.run(1.0)
-        assert simulation.engine.answers(target)
-    simulation.wanted = set()
+        assert simulation.engine.can_serve(target)
+    simulation.requested_targets = set()
 
 
 def unload_adapter_in_use(simulation, seconds: float) -> None:
     """Unloads an adapter while an unreported request uses it."""
     hold_adapters(simulation, "m/a1", "m/a2")
     simulation.run(2.0)
-    simulation.begin_use("m/a1", is_told=False)
-    simulation.wanted = {"m/a3"}
+    simulation.begin_request("m/a1", is_reported=False)
+    simulation.requested_targets = {"m/a3"}
     simulation.run(seconds)
     assert simulation.engine.departing == {"m/a1"}
 
@@ -44,10 +44,10 @@
 def test_an_adapter_in_use_keeps_its_place_until_its_requests_end(simulation):
     """Guards against a load into the slot of an adapter being unloaded."""
     unload_adapter_in_use(simulation, 1.0)
-    assert not simulation.engine.is_overloaded
-    simulation.end_use("m/a1")
+    assert not simulation.engine.was_overcommitted
+    simulation.end_request("m/a1")
     simulation.run(RECOVERY_S)
-    assert simulation.engine.answers("m/a3")
+    assert simulation.engine.can_serve("m/a3")
 
 
 def test_an_unload_that_changed_nothing_is_not_counted(simulation):
@@ -55,34 +55,34 @@
     unload_adapter_in_use(simulation, 2.0)
     simulation.change_holder()
     simulation.run(3.0)
-    simulation.end_use("m/a1")
+    simulation.end_request("m/a1")
     for target in ("m/a3", "m/a4", "m/a1"):
-        simulation.wanted = {target}
+        simulation.requested_targets = {target}
         simulation.run(RECOVERY_S)
-        assert simulation.engine.answers(target)
+        assert simulation.engine.can_serve(target)
 
 
 def test_a_model_that_is_gone_already_is_not_counted_as_unloaded(simulation):
     """Guards against counting the unload of a model that is not held."""
-    simulation.wanted = {"n"}
+    simulation.requested_targets = {"n"}
     simulation.run(6.0)
     assert simulation.engine.models == {"m", "n"}
     simulation.engine.models.discard("m")
-    simulation.wanted = {"n", "o"}
+    simulation.requested_targets = {"n", "o"}
     simulation.run(RECOVERY_S)
-    assert simulation.engine.answers("o")
-    simulation.wanted = {"n", "o", "o/a1"}
+    assert simulation.engine.can_serve("o")
+    simulation.requested_targets = {"n", "o", "o/a1"}
     simulation.run(RECOVERY_S)
-    assert simulation.engine.answers("o/a1")
+    assert simulation.engine.can_serve("o/a1")
 
 
 def test_an_adapter_is_swapped_without_a_wait_for_a_report(simulation):
     """Guards against waiting for a report before each adapter swap."""
     hold_adapters(simulation, "m/a1", "m/a2")
     simulation.run(2.0)
-    simulation.wanted = {"m/a3"}
+    simulation.requested_targets = {"m/a3"}
     simulation.run(0.3)
-    assert simulation.engine.answers("m/a3")
+    assert simulation.engine.can_serve("m/a3")
 
 
 class OrderFaultMachine(stateful.RuleBasedStateMachine):
@@ -97,25 +97,29 @@
         """The next orders are lost, late, duplicated or answered in vain."""
         self.simulation.deliveries.extend(deliveries)
 
-    @stateful.rule(wanted=st.sets(st.sampled_from(TARGETS), max_size=3))
-    def request_targets(self, wanted):
+    @stateful.rule(
+        requested_targets=st.sets(st.sampled_from(TARGETS), max_size=3)
+    )
+    def request_targets(self, requested_targets):
         """Changes which models and adapters requests wait for."""
-        self.simulation.wanted = wanted
+        self.simulation.requested_targets = requested_targets
 
-    @stateful.rule(data=st.data(), is_told=st.booleans())
-    def begin_use(self, data, is_told):
+    @stateful.rule(data=st.data(), is_reported=st.booleans())
+    def begin_request(self, data, is_reported):
         """A request starts; the controller learns of it or not."""
         engine = self.simulation.engine
         held = sorted(engine.models | engine.adapters)
         if held:
-            self.simulation.begin_use(data.draw(st.sampled_from(held)), is_told)
+            self.simulation.begin_request(
+                data.draw(st.sampled_from(held)), is_reported
+            )
 
     @stateful.rule(data=st.data())
-    def end_use(self, data):
+    def end_request(self, data):
         """A request ends."""
-        used = sorted(self.simulation.engine.uses)
+        used = sorted(self.simulation.engine.running_requests)
         if used:
-            self.simulation.end_use(data.draw(st.sampled_from(used)))
+            self.simulation.end_request(data.draw(st.sampled_from(used)))
 
     @stateful.rule()
     def arrives_late(self):
@@ -144,25 +148,27 @@
 
     @stateful.invariant()
     def never_overloaded(self):
-        assert not self.simulation.engine.is_overloaded
+        assert not self.simulation.engine.was_overcommitted
 
     def teardown(self):
         """Once its calls succeed, the engine executes orders again."""
         simulation = self.simulation
         try:
-            simulation.late.clear()
+            simulation.delayed_orders.clear()
             simulation.deliveries.clear()
-            for target, count in list(simulation.engine.uses.items()):
+            for target, count in list(
+                simulation.engine.running_requests.items()
+            ):
                 for _ in range(count):
-                    simulation.end_use(target)
-            simulation.wanted = {"m"}
+                    simulation.end_request(target)
+            simulation.requested_targets = {"m"}
             simulation.run(2 * RECOVERY_S)
-            assert simulation.engine.answers("m")
+            assert simulation.engine.can_serve("m")
             for target in ("m/a1", "m/a2", "m/a3"):
-                simulation.wanted = {"m", target}
+                simulation.requested_targets = {"m", target}
                 simulation.run(RECOVERY_S)
-                assert simulation.engine.answers(target)
-            assert not simulation.engine.is_overloaded
+                assert simulation.engine.can_serve(target)
+            assert not simulation.engine.was_overcommitted
         finally:
             simulation.close()
 
--- a/sesamecross/gateway/placement_controller_load_test.py
+++ b/sesamecross/gateway/placement_controller_load_test.py
@@ -10,8 +10,8 @@
 import pytest
 
 from sesamecross.core import fleet_messages as fm
-from sesamecross.fakes import jumping_loop
 from sesamecross.fakes import placement_simulation as simulation_lib
+from sesamecross.fakes import virtual_time_loop
 from sesamecross.gateway import placement_controller
 
 TICK_WORK_S = 0.002
@@ -37,7 +37,7 @@
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        controller = simulation.desk
+        controller = simulation.controller
 
         def work(seconds: float) -> None:
             work_times_s.append(seconds)
@@ -55,7 +55,9 @@
             await asyncio.sleep(0.0005)
         running.cancel()
 
-    with asyncio.Runner(loop_factory=jumping_loop.JumpingLoop) as runner:
+    with asyncio.Runner(
+        loop_factory=virtual_time_loop.VirtualTimeLoop
+    ) as runner:
         runner.run(scenario())
     assert sum(work_times_s) <= DURATION_S * MAX_WORK_SHARE
     assert b"sesamecross_orders_work_seconds" in simulation.metrics.render()[0]
@@ -118,6 +120,8 @@
         for _ in range(20):
             controller.want(simulation_lib.SERVICE, target, "")
 
-    with asyncio.Runner(loop_factory=jumping_loop.JumpingLoop) as runner:
+    with asyncio.Runner(
+        loop_factory=virtual_time_loop.VirtualTimeLoop
+    ) as runner:
         runner.run(scenario())
     assert len(mesh.sent) == 1 + sent
--- a/sesamecross/ops/fleet/engine_inventory_test.py
+++ b/sesamecross/ops/fleet/engine_inventory_test.py
@@ -6,7 +6,7 @@
 import pytest
 
 from sesamecross.core import serving
-from sesamecross.fakes import engine_holdings
+from sesamecross.fakes import simulated_engine
 from sesamecross.ops.fleet import engine_inventory
 
 SIZES = {"large": 50.0, "middle": 30.0, "small": 20.0, "other": 30.0}
@@ -200,7 +200,7 @@
         assert inventory.used_mb(spec()) == SIZES["small"] + len(in_slots)
 
 
-ROOM = engine_holdings.Room(SIZES, ROOM_MB, 1.0, ADAPTER_SLOTS)
+ROOM = simulated_engine.EngineCapacity(SIZES, ROOM_MB, 1.0, ADAPTER_SLOTS)
 
 
 class NeverOverloaded(stateful.RuleBasedStateMachine):
@@ -209,7 +209,7 @@
     def __init__(self):
         super().__init__()
         self.now_s = 0.0
-        self.engine = engine_holdings.EngineHoldings(ROOM)
+        self.engine = simulated_engine.SimulatedEngine(ROOM)
         self.late = []
         self.snapshots = [self.engine.report(1)]
         self.entries = [self._entry()]
@@ -241,7 +241,7 @@
         target = self._valid_target(is_load, data)
         if target is None:
             return
-        order = engine_holdings.Order(is_load, target, inventory.orders)
+        order = simulated_engine.Order(is_load, target, inventory.orders)
         if delivery == 0:
             self.late.append(order)
             inventory.order_unanswered(target)
@@ -301,19 +301,19 @@
             self._tick()
 
     @stateful.rule(data=st.data())
-    def begin_use(self, data):
+    def begin_request(self, data):
         """A request starts; the inventory is not informed of it."""
         held = sorted(self.engine.models | self.engine.adapters)
         target = data.draw(st.sampled_from(held)) if held else ""
-        if self.engine.answers(target):
-            self.engine.begin_use(target)
+        if self.engine.can_serve(target):
+            self.engine.begin_request(target)
 
     @stateful.rule(data=st.data())
-    def end_use(self, data):
+    def end_request(self, data):
         """A request ends."""
-        used = sorted(self.engine.uses)
+        used = sorted(self.engine.running_requests)
         if used:
-            self.engine.end_use(data.draw(st.sampled_from(used)))
+            self.engine.end_request(data.draw(st.sampled_from(used)))
             self._tick()
 
     @stateful.rule(age=st.integers(0, 3))
@@ -343,7 +343,7 @@
 
     @stateful.invariant()
     def never_overloaded(self):
-        assert not self.engine.is_overloaded
+        assert not self.engine.was_overcommitted
 
 
 NeverOverloaded.TestCase.settings = settings(
--- a/tests/planned_events_test.py
+++ b/tests/planned_events_test.py
@@ -41,12 +41,12 @@
     """SIGHUP; the file is as it was."""
 
     def act() -> None:
-        site.gateway.wait_new_line(
+        site.gateway.wait_new_log_line(
             "application: reload requested",
             lambda: site.gateway.signal(signal.SIGHUP),
         )
 
-    site.gateway.wait_new_line("settings: reloaded", act)
+    site.gateway.wait_new_log_line("settings: reloaded", act)
 
 
 def hang_up_ten_times(site: platform_site.PlatformSite) -> None:
@@ -60,7 +60,7 @@
     gateway = site.gateway
     text = gateway.settings_text(drain_ms=2600)
     gateway.write_settings(text[: len(text) // 2])
-    gateway.wait_new_line(
+    gateway.wait_new_log_line(
         "settings: not taken", lambda: gateway.signal(signal.SIGHUP)
     )
 
@@ -68,14 +68,14 @@
         gateway.write_settings(text)
         gateway.signal(signal.SIGHUP)
 
-    gateway.wait_new_line("settings: reloaded", act, in_force=["bounds"])
+    gateway.wait_new_log_line("settings: reloaded", act, in_force=["bounds"])
 
 
 def replaced_settings(site: platform_site.PlatformSite) -> None:
     """A new file without a signal; the new address waits for a start."""
     gateway = site.gateway
     text = gateway.settings_text(drain_ms=2700, front_port=8150)
-    gateway.wait_new_line(
+    gateway.wait_new_log_line(
         "settings: reloaded",
         lambda: gateway.replace_settings(text),
         in_force=["bounds"],
@@ -91,13 +91,15 @@
     def happens(site: platform_site.PlatformSite) -> None:
         for one in changes:
             site.publish(**one)
-        site.gateway.wait_line("configuration: in force", version=site.version)
+        site.gateway.wait_log_line(
+            "configuration: in force", version=site.version
+        )
 
     return happens
 
 
 TIMEOUTS = {"timeout_share": 0.9}
-NO_ROUTE = {"without": (*platform_site.BY_HAND, platform_site.ARCHIVE)}
+NO_ROUTE = {"without": (*platform_site.HELD_SERVICES, platform_site.ARCHIVE)}
 ROUTES = {"more_routes": MORE_ROUTES}
 IDLE = {"idle_ms": 100_000}
 
@@ -106,8 +108,8 @@
     site: platform_site.PlatformSite,
 ) -> list[platform_upstream.PlatformUpstream]:
     """Adds others for those at which requests are, and returns the latter."""
-    replaced = [site.add_upstream(one) for one in platform_site.BY_HAND]
-    site.wait_known()
+    replaced = [site.add_upstream(one) for one in platform_site.HELD_SERVICES]
+    site.wait_until_known()
     return replaced
 
 
@@ -117,7 +119,7 @@
     for one in leaving:
         one.register("draining")
     for one in leaving:
-        site.gateway.wait_line(
+        site.gateway.wait_log_line(
             "upstreams: seen", id=one.instance_id, leaving=True
         )
 
@@ -128,12 +130,12 @@
     for one in removed:
         one.unregister()
     for one in removed:
-        site.gateway.wait_line("upstreams: lapsed", id=one.instance_id)
+        site.gateway.wait_log_line("upstreams: lapsed", id=one.instance_id)
 
 
 def stop(site: platform_site.PlatformSite) -> None:
     """SIGTERM."""
-    site.gateway.wait_new_line(
+    site.gateway.wait_new_log_line(
         "gateway: draining", lambda: site.gateway.signal(signal.SIGTERM)
     )
 
@@ -141,7 +143,7 @@
 def stop_and_hang_up(site: platform_site.PlatformSite) -> None:
     """SIGTERM, and SIGHUP while the process stops."""
     stop(site)
-    site.gateway.wait_new_line(
+    site.gateway.wait_new_log_line(
         "application: reload requested",
         lambda: site.gateway.signal(signal.SIGHUP),
     )
@@ -154,14 +156,14 @@
         site.gateway.signal(signal.SIGHUP)
         stop(site)
 
-    site.gateway.wait_new_line("application: reload requested", act)
+    site.gateway.wait_new_log_line("application: reload requested", act)
 
 
 def stop_twice(site: platform_site.PlatformSite) -> None:
     """SIGTERM, and once more while the process stops."""
     stop(site)
     # Whatever it says of the second one: each signal leaves a line.
-    site.gateway.wait_new_line(
+    site.gateway.wait_new_log_line(
         "application: ", lambda: site.gateway.signal(signal.SIGTERM)
     )
 
@@ -233,7 +235,7 @@
     """Returns a call whose large answer waits in the gateway, unread."""
     call = site.call(platform_site.ARCHIVE, receive_buffer=SMALL_BUFFER_BYTES)
     call.send()
-    site.gateway.wait_line("request: status 200", id=call.request_id)
+    site.gateway.wait_log_line("request: status 200", id=call.request_id)
     return call
 
 
@@ -289,13 +291,13 @@
         if ends:
             hold(self._site)
         for one in self._site.all_upstreams():
-            one.let_go()
+            one.release_answers()
         seen["unanswered call"] = self._seen(self._unanswered)
         seen["stream"] = self._seen(self._stream)
         return seen
 
     def _ask_on_kept(self, may_close: bool) -> Seen:
-        call = self._site.call(platform_site.DESK, kept=self._kept)
+        call = self._site.call(platform_site.DESK, reused=self._kept)
         call.send()
         seen = self._seen(call)
         if may_close and not seen.answer.status and not seen.runs:
@@ -331,12 +333,12 @@
 
 def play(site: platform_site.PlatformSite, event: Event) -> Played:
     """Lets an event happen while requests are under way."""
-    site.begin()
+    site.prepare()
     under_way = UnderWay(site)
     not_noticed = ""
     try:
         event.happens(site)
-    except (platform_instance.Ended, processes.NotReady) as error:
+    except (platform_instance.ProcessEnded, processes.NotReady) as error:
         not_noticed = str(error)
     seen = under_way.finish(event.ends)
     exit_code = None
@@ -410,7 +412,7 @@
     The upstream's answer is whole and the request done, but most of its bytes
     still wait in the process for the caller. If it ends then, they are lost.
     """
-    own_site.begin()
+    own_site.prepare()
     call = answered_unread(own_site)
     stop(own_site)
     # It should not end: it still has bytes for its caller.
