--- a/sesamecross/runtime/__init__.py
+++ b/sesamecross/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Life cycle, supervision, logs and metrics of a process."""
+"""Lifecycle, supervision, logs and metrics of a process."""
--- a/sesamecross/runtime/application_test.py
+++ b/sesamecross/runtime/application_test.py
@@ -1,4 +1,4 @@
-"""Tests of a process's life: signals that stop it, and one that does not."""
+"""Tests of the process lifecycle: stop signals, reloads and failures."""
 
 import asyncio
 import contextlib
@@ -15,21 +15,21 @@
 from sesamecross.runtime import logs
 from sesamecross.runtime import signals as signals_lib
 
-# How often somebody presses the key before a test gives up.
-INTERRUPTS = 100
+# Interrupts that a test sends before it gives up.
+MAX_INTERRUPTS = 100
 
 
 @pytest.fixture
 def log():
-    """Returns a function that gives the fields of each line so far."""
+    """Returns a function that returns the fields of all log lines so far."""
     stream = io.StringIO()
     logs.configure("info", "json", stream)
     yield lambda: [json.loads(line) for line in stream.getvalue().splitlines()]
     structlog.reset_defaults()
 
 
-class _Hooks:
-    """A process without components that counts what it is told."""
+class _ReloadableHooks:
+    """A process without components that records calls of its hooks."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
@@ -46,8 +46,8 @@
         self.reloaded.set()
 
 
-class _NoReload:
-    """A process that takes no settings in while it runs."""
+class _HooksWithoutReload:
+    """A process that can't reload its settings."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
@@ -61,29 +61,29 @@
 
 @contextlib.contextmanager
 def _pending_signals():
-    """Holds the signals of the test run for as long as a test needs it."""
-    former = {
+    """Installs the signal handlers for the duration of a test."""
+    previous_handlers = {
         number: signal.getsignal(number)
         for number in signals_lib.HANDLED_SIGNALS
     }
     try:
-        yield signals_lib.PendingSignals.open()
+        yield signals_lib.PendingSignals.install()
     finally:
-        for number, handler in former.items():
+        for number, handler in previous_handlers.items():
             signal.signal(number, handler)
 
 
 async def _run(hooks, signals) -> int:
     with _pending_signals() as pending_signals:
-        return await _play(
+        return await _send_signals(
             application.Application(hooks, pending_signals), hooks, signals
         )
 
 
-async def _play(one, hooks, signals) -> int:
-    running = asyncio.create_task(one._run())
+async def _send_signals(app, hooks, signals) -> int:
+    running = asyncio.create_task(app._run())
     for number in signals:
-        # Until the signal handlers are in place and the last was handled.
+        # Waits for the handlers, and until the last signal was handled.
         for _ in range(20):
             await asyncio.sleep(0)
         os.kill(os.getpid(), number)
@@ -94,28 +94,31 @@
 
 
 @pytest.mark.parametrize(
-    ("make", "expected"),
-    [(_Hooks, ["reload", "reload", "drain"]), (_NoReload, ["drain"])],
+    ("make_hooks", "expected"),
+    [
+        (_ReloadableHooks, ["reload", "reload", "drain"]),
+        (_HooksWithoutReload, ["drain"]),
+    ],
 )
-def test_a_process_goes_on_when_its_settings_change(make, expected):
-    """Streams of 70 instances were cut off when settings files changed.
+def test_sighup_does_not_end_a_process(make_hooks, expected):
+    """Guards against SIGHUP ending a process.
 
-    The platform sends SIGHUP then, which ends a process that has no handler
-    for it.
+    The platform sends it when settings files change. Without a handler it
+    ended the processes and cut off the streams of 70 instances.
     """
 
-    async def play():
-        hooks = make()
+    async def scenario():
+        hooks = make_hooks()
         code = await _run(hooks, [signal.SIGHUP, signal.SIGHUP, signal.SIGTERM])
         return hooks, code
 
-    hooks, code = asyncio.run(play())
+    hooks, code = asyncio.run(scenario())
     assert code == application.EXIT_OK
     assert hooks.calls == expected
 
 
-class _Stopping:
-    """A process that gets further signals while it drains."""
+class _HooksSignalledInDrain:
+    """A process that gets more signals while it drains."""
 
     def __init__(self, numbers):
         self.calls: list[str] = []
@@ -145,45 +148,47 @@
         ("SIGTERM", "SIGINT+SIGINT", [application.EXIT_FORCED]),
     ],
 )
-def test_only_a_second_interrupt_cuts_a_stop_short(
+def test_only_a_second_interrupt_forces_an_exit(
     first, later, ends, monkeypatch
 ):
-    """A stop that was asked for twice cut off all answers under way.
+    """Guards against a repeated stop request aborting open requests.
 
-    The platform and an operator had each asked for the same stop. The process
-    counted signals of any kind and took the second for somebody at a terminal
-    who wants it gone.
+    The platform and an operator each requested the same stop. The process
+    counted signals of any kind and treated the second as a forced exit by
+    somebody at a terminal.
     """
     ended: list[int] = []
     monkeypatch.setattr(os, "_exit", ended.append)
-    hooks = _Stopping([getattr(signal, name) for name in later.split("+")])
+    hooks = _HooksSignalledInDrain(
+        [getattr(signal, name) for name in later.split("+")]
+    )
     code = asyncio.run(_run(hooks, [getattr(signal, first)]))
     assert ended == ends
     assert hooks.calls == ["drained"]
     assert code == application.EXIT_OK
 
 
-class _BadReload(_Hooks):
-    """A process whose hook for new settings fails."""
+class _FailingReload(_ReloadableHooks):
+    """A process whose reload hook fails."""
 
     def reload(self) -> None:
         super().reload()
         raise ValueError("half a file")
 
 
-def test_a_hook_that_fails_on_new_settings_ends_nothing(log):
-    """An error in a hook left no line among the process's own.
+def test_a_failing_reload_is_logged_and_ends_nothing(log):
+    """Guards against a reload error that is missing from the log.
 
-    It came out as the loop's own text on standard error, which nobody reads
-    as lines of the log. The process went on, and must.
+    The event loop printed the error as plain text on standard error, which is
+    not read as log lines. The process must keep running.
     """
 
-    async def play():
-        hooks = _BadReload()
+    async def scenario():
+        hooks = _FailingReload()
         code = await _run(hooks, [signal.SIGHUP, signal.SIGHUP, signal.SIGTERM])
         return hooks, code
 
-    hooks, code = asyncio.run(play())
+    hooks, code = asyncio.run(scenario())
     failed = [
         line for line in log() if line["event"] == "application: reload failed"
     ]
@@ -193,47 +198,47 @@
     assert code == application.EXIT_OK
 
 
-class _HangsAtItsEnd(_NoReload):
-    """A process with a job in a thread that outlasts its loop."""
+class _HangingThreadHooks(_HooksWithoutReload):
+    """A process with an executor thread that outlasts its loop."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.is_cut = threading.Event()
-        self._closes = threading.Event()
+        self.is_interrupted = threading.Event()
+        self._is_closing = threading.Event()
 
     def components(self) -> list:
         loop = asyncio.get_running_loop()
         loop.call_soon(os.kill, os.getpid(), signal.SIGTERM)
-        loop.run_in_executor(None, self._hang)
+        loop.run_in_executor(None, self._interrupt_until_forced)
         wait_for_threads = loop.shutdown_default_executor
 
         async def close() -> None:
-            self._closes.set()
+            self._is_closing.set()
             await wait_for_threads()
 
         loop.shutdown_default_executor = close
         return []
 
-    def _hang(self) -> None:
-        self._closes.wait()
-        for _ in range(INTERRUPTS):
+    def _interrupt_until_forced(self) -> None:
+        self._is_closing.wait()
+        for _ in range(MAX_INTERRUPTS):
             os.kill(os.getpid(), signal.SIGINT)
-            if self.is_cut.wait(0.05):
+            if self.is_interrupted.wait(0.05):
                 return
 
 
-def test_a_process_that_hangs_at_its_end_can_be_interrupted(monkeypatch):
-    """Nobody at a terminal could end a process that waited for a thread.
+def test_a_process_that_hangs_on_exit_can_be_interrupted(monkeypatch):
+    """Guards against a process that ignores interrupts while it exits.
 
-    It had done its work and waited for jobs in threads, for as long as they
-    took. Interrupts were held, but nobody asked for them any more.
+    It had finished its work and waited without limit for executor threads.
+    Interrupts were kept as pending but no longer handled.
     """
-    hooks = _HangsAtItsEnd()
+    hooks = _HangingThreadHooks()
     ends: list[int] = []
 
     def end(code: int) -> None:
         ends.append(code)
-        hooks.is_cut.set()
+        hooks.is_interrupted.set()
 
     monkeypatch.setattr(os, "_exit", end)
     with _pending_signals() as pending_signals:
@@ -241,7 +246,7 @@
     assert ends[:1] == [application.EXIT_FORCED]
 
 
-def _of(lines: list[dict], event: str) -> list[dict]:
+def _lines_of(lines: list[dict], event: str) -> list[dict]:
     return [line for line in lines if line["event"] == f"application: {event}"]
 
 
@@ -252,33 +257,35 @@
         ("SIGINT", "SIGTERM+SIGHUP", {"SIGINT": 1, "SIGTERM": 1, "SIGHUP": 1}),
     ],
 )
-def test_a_log_tells_what_asked_for_an_end(
+def test_the_log_shows_which_signal_stopped_a_process(
     first, later, received, log, monkeypatch
 ):
-    """Nobody could tell from its lines why a process had ended.
+    """Guards against a log that doesn't show why a process stopped.
 
     A stop by the platform, by somebody at a terminal and after a failure
-    looked the same, and signals that changed nothing left no line.
+    looked the same, and signals without an effect were not logged.
     """
-    # An end in mid-play would end the test run as well.
+    # A forced exit would end the test run as well.
     monkeypatch.setattr(os, "_exit", lambda code: None)
-    hooks = _Stopping([getattr(signal, name) for name in later.split("+")])
+    hooks = _HooksSignalledInDrain(
+        [getattr(signal, name) for name in later.split("+")]
+    )
     asyncio.run(_run(hooks, [getattr(signal, first)]))
     lines = log()
-    told = [
+    logged = [
         (line["signal"], line["phase"]) for line in lines if "signal" in line
     ]
     again = [(name, "stopping") for name in later.split("+")]
-    assert told == [(first, "running"), *again]
-    (stopped,) = _of(lines, "stopped")
+    assert logged == [(first, "running"), *again]
+    (stopped,) = _lines_of(lines, "stopped")
     assert stopped["pid"] == os.getpid()
     assert stopped["code"] == application.EXIT_OK
     assert stopped["asked_by"] == first
     assert stopped["signals"] == received
 
 
-class _Failing(_NoReload):
-    """A process whose only component fails for good."""
+class _Failing(_HooksWithoutReload):
+    """A process whose only component fails permanently."""
 
     is_vital = True
     name = "failing"
@@ -293,27 +300,27 @@
         """Nothing to finish."""
 
 
-def test_a_log_tells_that_a_failure_ended_a_process(log):
-    """A process that had failed and one that was stopped ended alike.
+def test_the_log_shows_that_a_failure_ended_a_process(log):
+    """Guards against a failure that looks like a requested stop in the log.
 
-    The last line bore the exit code, and what asked for the end had to be
-    guessed from the lines before it.
+    The last line held the exit code only; the cause had to be guessed from
+    the lines before it.
     """
     assert asyncio.run(_run(_Failing(), [])) == application.EXIT_FAILED
-    (stopped,) = _of(log(), "stopped")
+    (stopped,) = _lines_of(log(), "stopped")
     assert stopped["code"] == application.EXIT_FAILED
     assert stopped["asked_by"] == "a failure"
 
 
-class _BadStart(_NoReload):
-    """A process whose parts can't be made."""
+class _FailingStart(_HooksWithoutReload):
+    """A process whose components can't be created."""
 
     def components(self) -> list:
         raise OSError("address in use")
 
 
-class _BadDrain(_NoReload):
-    """A process whose drain fails, with a component that has to stop."""
+class _FailingDrain(_HooksWithoutReload):
+    """A process whose drain fails, with a component that must be stopped."""
 
     name = "stops"
 
@@ -331,55 +338,55 @@
 
 
 @pytest.mark.parametrize(
-    ("make", "sent", "event", "calls", "asked_by"),
+    ("make_hooks", "sent", "event", "calls", "asked_by"),
     [
-        (_BadStart, [], "not started", [], "a failure"),
-        (_BadDrain, [signal.SIGTERM], "drain failed", ["stop"], "SIGTERM"),
+        (_FailingStart, [], "startup failed", [], "a failure"),
+        (_FailingDrain, [signal.SIGTERM], "drain failed", ["stop"], "SIGTERM"),
     ],
 )
-def test_an_error_in_a_hook_is_told_and_ends_in_order(
-    make, sent, event, calls, asked_by, log
+def test_an_error_in_a_hook_is_logged_and_the_shutdown_completes(
+    make_hooks, sent, event, calls, asked_by, log
 ):
-    """A process whose hook failed ended without its last line.
+    """Guards against a hook's error that skips the rest of the shutdown.
 
-    The error went past the log as text, and where it came in the drain the
-    components were not stopped.
+    The error was printed outside of the log and the last log line was missing.
+    After an error in the drain the components were not stopped.
     """
-    hooks = make()
+    hooks = make_hooks()
     assert asyncio.run(_run(hooks, sent)) == application.EXIT_FAILED
     lines = log()
-    (told,) = _of(lines, event)
-    assert "exception" in told
-    (stopped,) = _of(lines, "stopped")
+    (logged,) = _lines_of(lines, event)
+    assert "exception" in logged
+    (stopped,) = _lines_of(lines, "stopped")
     assert stopped["code"] == application.EXIT_FAILED
     assert stopped["asked_by"] == asked_by
     assert hooks.calls == calls
 
 
 def test_a_flood_of_signals_does_not_flood_the_log(log):
-    """A tool that signals in a loop filled the log with a line for each.
+    """Guards against signals sent in a loop that fill the log.
 
-    Programs that write to standard error have no bound of their own. Each
-    signal still does its work, and the last line tells how many came.
+    Programs that write to standard error have no other limit. Each signal
+    still takes effect, and the last line counts all of them.
     """
     flood = 1000
 
-    async def play():
-        hooks = _Hooks()
+    async def scenario():
+        hooks = _ReloadableHooks()
         signals = [signal.SIGHUP] * flood + [signal.SIGTERM]
         await _run(hooks, signals)
         return hooks
 
-    hooks = asyncio.run(play())
+    hooks = asyncio.run(scenario())
     assert hooks.calls.count("reload") == flood
     lines = log()
-    assert len(_of(lines, "reload requested")) < flood / 10
-    (stopped,) = _of(lines, "stopped")
+    assert len(_lines_of(lines, "reload requested")) < flood / 10
+    (stopped,) = _lines_of(lines, "stopped")
     assert stopped["signals"] == {"SIGHUP": flood, "SIGTERM": 1}
 
 
-class _Fails:
-    """A component that is given up at its first failure."""
+class _VitalFailingComponent:
+    """A component that is not restarted after a failure."""
 
     is_vital = True
     name = "vital"
@@ -394,25 +401,25 @@
         self._calls.append("stop")
 
 
-class _Failing(_NoReload):
+class _Failing(_HooksWithoutReload):
     """A process with a component that fails."""
 
     def components(self) -> list:
-        return [_Fails(self.calls)]
+        return [_VitalFailingComponent(self.calls)]
 
 
-def test_a_failed_component_cuts_no_requests_off():
-    """All streams of an instance were cut because one of its parts had failed.
+def test_a_failed_component_does_not_cut_off_requests():
+    """Guards against a failed component that cuts off open requests.
 
-    A part that keeps failing takes its process down, so that the platform
-    replaces it; but its callers were served well meanwhile. The parts stopped
-    without waiting for open requests, as only a signal led to the drain.
+    A component that keeps failing ends its process, so that the platform
+    replaces it, while its callers are still served. Only a signal led to the
+    drain, so the components were stopped without waiting for open requests.
     """
 
-    async def play():
+    async def scenario():
         hooks = _Failing()
         return hooks, await _run(hooks, [])
 
-    hooks, code = asyncio.run(play())
+    hooks, code = asyncio.run(scenario())
     assert code == application.EXIT_FAILED
     assert hooks.calls == ["drain", "stop"]
--- a/sesamecross/runtime/bounded_output_test.py
+++ b/sesamecross/runtime/bounded_output_test.py
@@ -1,4 +1,4 @@
-"""Tests of log lines that never wait for their reader."""
+"""Tests of non-blocking log output."""
 
 import json
 import os
@@ -34,7 +34,7 @@
 def flushed_lines(
     reader: int, output: bounded_output.BoundedOutput
 ) -> list[str]:
-    """Reads what the pipe holds and what waits for room in it."""
+    """Reads all lines in the pipe and in the output's buffer."""
     os.set_blocking(reader, False)
     read = b""
     while True:
@@ -46,7 +46,7 @@
 
 
 def slow_clock(step_s: float):
-    """Returns a clock that is later by a step at each reading."""
+    """Returns a clock that advances by a step at each reading."""
     now_s = 0.0
 
     def read() -> float:
@@ -61,10 +61,10 @@
     ("step_s", "has_notices"), [(0.0, False), (0.001, True), (0.02, False)]
 )
 @pytest.mark.parametrize("is_shared", [False, True])
-def test_a_reader_that_stands_still_holds_nobody_up(
+def test_a_stalled_reader_does_not_block_writers(
     pipe, is_shared, step_s, has_notices
 ):
-    """Guards against waiting for a log's reader, however slow the machine."""
+    """Guards against blocking on a stalled reader, at any machine speed."""
     reader, writer = pipe
     was_blocking = os.get_blocking(writer)
     output = bounded_output.BoundedOutput(
@@ -73,7 +73,7 @@
     for _ in range(1000):
         output.write(LINE)
     assert output.dropped > 0
-    # Others that write to the same terminal find it as it was.
+    # The mode of a shared terminal is unchanged for other writers.
     assert os.get_blocking(writer) is (is_shared and was_blocking)
     lines = flushed_lines(reader, output)
     notices = [one for one in lines if one.startswith("{")]
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("is_shared", [False, True])
-def test_a_reader_that_is_gone_fails_nobody(pipe, is_shared):
+def test_a_closed_reader_does_not_fail_writers(pipe, is_shared):
     reader, writer = pipe
     output = bounded_output.BoundedOutput(writer, is_shared=is_shared)
     os.close(reader)
@@ -93,7 +93,7 @@
 
 
 def test_threads_write_whole_lines(pipe):
-    """Lines of an entry ran into each other: its threads share the output."""
+    """Guards against interleaved lines: threads share the output."""
     reader, writer = pipe
     output = bounded_output.BoundedOutput(writer, is_shared=True)
 
@@ -113,11 +113,11 @@
     assert all(line == line[0] * 100 for line in lines)
 
 
-def test_a_process_without_an_output_writes_nowhere():
-    """A gateway that was started with its output closed ended at once.
+def test_lines_are_discarded_without_an_output():
+    """Guards against a crash of a process started with its output closed.
 
-    It asked for the number of an output that was not there. Its lines must
-    not get into a connection either, which may have that number now.
+    A gateway asked for the descriptor of a missing stream and exited. The
+    lines must not go to a connection that may have that descriptor now.
     """
     output = bounded_output.BoundedOutput.of_stream(None)
     assert output.write(LINE) == len(LINE)
--- a/sesamecross/runtime/http_server.py
+++ b/sesamecross/runtime/http_server.py
@@ -1,7 +1,7 @@
-"""An HTTP server by `cheroot`, with the limits that every port needs.
+"""HTTP server based on `cheroot`, with the limits that every port needs.
 
-Why: each process answers HTTP (calls, metrics, health), and each port must
-bound heads, bodies, idle time and connections the same way.
+Each process serves HTTP (calls, metrics, health), and each port must limit
+header size, body size, idle time and connections the same way.
 """
 
 import asyncio
@@ -23,11 +23,11 @@
 from sesamecross.runtime import http_shutdown
 from sesamecross.runtime import logs
 
-# A connection that sends its head or body slower than this is closed.
+# A connection that takes longer to send its headers or body is closed.
 DEFAULT_IDLE_S = 20
 DEFAULT_RECEIVE_S = 30.0
-_REAP_S = 0.2
-_JOIN_S = 5
+_REAP_INTERVAL_S = 0.2
+_JOIN_TIMEOUT_S = 5
 
 StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 WsgiApp = Callable[[dict, StartResponse], Iterable[bytes]]
@@ -35,11 +35,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds of one server. Times in seconds, sizes in bytes.
+    """Limits of one server. Times in seconds, sizes in bytes.
 
     Attributes:
       idle_s: The longest pause within a request.
-      receive_s: The longest that a head, or a body, may take as a whole.
+      receive_s: The time limit for the whole of the headers, and again for the
+        whole of the body.
     """
 
     threads: int = 8
@@ -50,12 +51,12 @@
     receive_s: float = DEFAULT_RECEIVE_S
 
 
-# Name of the `Connection` in a request's environment.
+# Key of the `Connection` in a request's WSGI environment.
 CONNECTION = "sesamecross.connection"
 
 
 class Connection:
-    """The caller's connection, for who writes to it past the WSGI layer."""
+    """The caller's connection, for code that writes to it outside of WSGI."""
 
     __slots__ = ("_request",)
 
@@ -69,12 +70,12 @@
 
     @property
     def is_chunked(self) -> bool:
-        """Whether the answer is chunked; known once its head is sent."""
+        """Whether the response is chunked; known once its headers are sent."""
         return self._request.chunked_write
 
     @contextlib.contextmanager
-    def timed(self) -> Iterator[None]:
-        """Bounds the time of what the caller sends meanwhile."""
+    def limit_receive_time(self) -> Iterator[None]:
+        """Limits how long the caller may take to send the body."""
         reaper = self._request.conn.server.reaper
         reaper.begin(self._request.conn)
         try:
@@ -83,46 +84,46 @@
             reaper.end(self._request.conn)
 
     def abort(self) -> None:
-        """Makes the server close the connection without a proper end."""
+        """Makes the server close the connection without a final chunk."""
         self._request.close_connection = True
         self._request.chunked_write = False
 
 
 class _Reaper:
-    """Cuts connections that take too long to send a head or a body.
+    """Closes connections that take too long to send headers or a body.
 
-    A caller that sends a byte now and then never trips the pause between
-    two of them, and would hold a thread for as long as it likes; enough of
-    such callers would hold them all.
+    A caller that sends single bytes at intervals never exceeds the idle
+    timeout and could occupy a thread without end; enough such callers would
+    occupy all threads.
     """
 
     def __init__(self, receive_s: float):
         self._receive_s = receive_s
         self._lock = threading.Lock()
-        self._since: dict[Any, float] = {}
+        self._started_s: dict[Any, float] = {}
 
     def begin(self, connection: Any) -> None:
         with self._lock:
-            self._since[connection] = time.monotonic()
+            self._started_s[connection] = time.monotonic()
 
     def end(self, connection: Any) -> None:
         with self._lock:
-            self._since.pop(connection, None)
+            self._started_s.pop(connection, None)
 
     def reap(self) -> None:
-        """Shuts down what is overdue; its thread then sees the end."""
-        now = time.monotonic()
+        """Shuts down overdue sockets; their threads then read an EOF."""
+        now_s = time.monotonic()
         with self._lock:
-            for connection, since in list(self._since.items()):
-                if now - since < self._receive_s:
+            for connection, started_s in list(self._started_s.items()):
+                if now_s - started_s < self._receive_s:
                     continue
-                del self._since[connection]
+                del self._started_s[connection]
                 with contextlib.suppress(OSError):
                     connection.socket.shutdown(socket.SHUT_RDWR)
 
 
 class _TimedConnection(server.HTTPConnection):
-    """A connection whose heads are timed."""
+    """A connection that limits the time to receive headers."""
 
     RequestHandlerClass = http_shutdown.Request
 
@@ -136,20 +137,20 @@
 
 
 class _ConnectionGateway(wsgi.Gateway_10):
-    """Puts the connection into the environment of each request."""
+    """Adds the connection to the WSGI environment of each request."""
 
     def get_environ(self) -> dict:
         environ = super().get_environ()
         environ[CONNECTION] = Connection(self.req)
-        # The head is whole; the body is timed when it is read.
+        # The headers are complete; the body has its own limit when read.
         self.req.conn.server.reaper.end(self.req.conn)
         return environ
 
 
 class HttpServer:
-    """Serves a WSGI application from threads of its own."""
+    """Serves a WSGI application from its own threads."""
 
-    __slots__ = ("_server", "_thread", "_name", "_done", "_reaper")
+    __slots__ = ("_server", "_thread", "_name", "_stopped", "_reaper")
 
     def __init__(self, name: str, address: str, app: WsgiApp, limits: Limits):
         host, _, port = address.rpartition(":")
@@ -161,7 +162,7 @@
             max=limits.threads,
             request_queue_size=min(limits.max_connections, 1024),
             timeout=limits.idle_s,
-            shutdown_timeout=_JOIN_S,
+            shutdown_timeout=_JOIN_TIMEOUT_S,
             accepted_queue_size=limits.max_connections,
             accepted_queue_timeout=1,
         )
@@ -174,16 +175,16 @@
         self._server.error_log = self._on_error
         self._server.gateway = _ConnectionGateway
         self._thread: threading.Thread | None = None
-        self._done = threading.Event()
+        self._stopped = threading.Event()
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The prefix of its log lines."""
         return self._name
 
     @property
     def address(self) -> str:
-        """The address that is bound; its port is known after `start`."""
+        """The bound address; its port is known after `start`."""
         host, port = self._server.bind_addr
         return f"{host}:{port}"
 
@@ -197,58 +198,59 @@
         threading.Thread(target=self._reap, daemon=True).start()
 
     def _reap(self) -> None:
-        while not self._done.wait(_REAP_S):
+        while not self._stopped.wait(_REAP_INTERVAL_S):
             self._reaper.reap()
 
     def disable_keep_alive(self) -> None:
-        """Ends each connection with the next answer on it."""
+        """Closes each connection after its next response."""
         self._server.is_keep_alive_disabled = True
 
     def shut_down(self) -> None:
-        """Closes the port and ends the threads.
+        """Closes the port and stops the threads.
 
-        Requests that are whole by then are given to the application.
+        Requests that are complete by then still reach the application.
         """
         self.disable_keep_alive()
         self._server.stop()
         if self._thread is not None:
-            self._thread.join(_JOIN_S)
+            self._thread.join(_JOIN_TIMEOUT_S)
 
     async def run(self) -> None:
-        """Serves as a component of a supervisor."""
+        """Serves requests until the server is shut down."""
         if self._thread is None:
             self.start()
-        while not self._done.is_set():
+        while not self._stopped.is_set():
             await asyncio.sleep(0.2)
 
     async def stop(self) -> None:
-        """Stops as a component of a supervisor."""
+        """Shuts the server down."""
         await asyncio.to_thread(self.shut_down)
 
     def _serve(self) -> None:
         try:
             self._server.serve()
         finally:
-            self._done.set()
+            self._stopped.set()
 
     def _on_error(self, msg="", level=20, traceback=False) -> None:
-        # Resets by callers are ordinary; the library reports them here.
+        # The library reports connection resets by callers here, which are
+        # normal.
         logs.get_logger(self._name).debug("server error", detail=str(msg)[:500])
 
 
 class SlowBody(Exception):
-    """The caller sent its body slower than allowed, or went away."""
+    """The body was too slow or too large, or the caller disconnected."""
 
 
 def read_body(environ: dict) -> bytes:
-    """Returns the whole request body.
+    """Returns the complete request body.
 
     Raises:
-      SlowBody: The caller stalled, went away or sent too much.
+      SlowBody: The caller stalled, disconnected or sent too much.
     """
     try:
-        with environ[CONNECTION].timed():
-            return _read_whole(environ)
+        with environ[CONNECTION].limit_receive_time():
+            return _read_full_body(environ)
     except (
         OSError,
         ValueError,
@@ -257,7 +259,7 @@
         raise SlowBody(str(error)) from error
 
 
-def _read_whole(environ: dict) -> bytes:
+def _read_full_body(environ: dict) -> bytes:
     length = int(environ.get("CONTENT_LENGTH") or -1)
     stream = environ["wsgi.input"]
     if length >= 0:
@@ -276,7 +278,7 @@
     body: bytes,
     content_type: str = "application/json",
 ) -> list[bytes]:
-    """Sends a whole answer."""
+    """Sends a complete response."""
     headers = [
         ("Content-Type", content_type),
         ("Content-Length", str(len(body))),
@@ -288,5 +290,5 @@
 def send_json(
     start_response: StartResponse, value: Any, status: str = "200 OK"
 ) -> list[bytes]:
-    """Sends a whole answer as JSON."""
+    """Sends a complete response as JSON."""
     return send_response(start_response, status, json.dumps(value).encode())
--- a/sesamecross/runtime/http_server_test.py
+++ b/sesamecross/runtime/http_server_test.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP server's bounds on what callers send."""
+"""Tests of the HTTP server's receive limits and graceful shutdown."""
 
 import socket
 import threading
@@ -24,10 +24,10 @@
 @pytest.fixture
 def server():
     limits = http_server.Limits(threads=2, receive_s=0.5)
-    one = http_server.HttpServer("test", "127.0.0.1:0", app, limits)
-    one.start()
-    yield one
-    one.shut_down()
+    http = http_server.HttpServer("test", "127.0.0.1:0", app, limits)
+    http.start()
+    yield http
+    http.shut_down()
 
 
 def connect(server):
@@ -38,14 +38,14 @@
 HEAD = b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\n"
 
 
-@pytest.mark.parametrize("before", [b"", HEAD])
-def test_trickling_callers_do_not_hold_the_threads(server, before):
-    # R13: two callers send a byte now and then, each within the allowed
-    # pause, and would hold both threads. They are cut off, and a third
-    # caller is answered.
+@pytest.mark.parametrize("first_bytes", [b"", HEAD])
+def test_slow_callers_do_not_hold_the_threads(server, first_bytes):
+    # R13: two callers send single bytes, each within the idle timeout, and
+    # would occupy both threads. They are disconnected, and a third caller is
+    # answered.
     slow = [connect(server) for _ in range(2)]
     for raw in slow:
-        raw.sendall(before or b"POST / HTTP/1.1\r\n")
+        raw.sendall(first_bytes or b"POST / HTTP/1.1\r\n")
     ended = 0
     for _ in range(200):
         time.sleep(0.05)
@@ -60,22 +60,22 @@
     assert ended == 2
     with connect(server) as third:
         third.sendall(HEAD + b"y" * 50)
-        answer = b""
-        while b"y" * 50 not in answer:
+        response = b""
+        while b"y" * 50 not in response:
             piece = third.recv(4096)
-            assert piece, answer
-            answer += piece
+            assert piece, response
+            response += piece
 
 
-def busy(environ, start_response):
-    """Refuses without a look at the body, as a process that stops does."""
+def refuse(environ, start_response):
+    """Refuses without reading the body, as a stopping process does."""
     return http_server.send_response(
         start_response, "503 Service Unavailable", b"no"
     )
 
 
-class Held(list):
-    """A body after which the server's thread waits before it goes on."""
+class BlockingBody(list):
+    """A response body that blocks the server's thread after it is sent."""
 
     gate = threading.Event()
 
@@ -83,100 +83,104 @@
         assert self.gate.wait(10)
 
 
-def busy_held(environ, start_response):
-    return Held(busy(environ, start_response))
+def refuse_blocking(environ, start_response):
+    return BlockingBody(refuse(environ, start_response))
 
 
-def answers_at_stop(monkeypatch, app, before):
-    """Stops a server; `before` acts when it has looked for work at last.
+def stop_server(monkeypatch, app, send_request):
+    """Stops a server; sends a request after the library's last poll.
 
     Returns:
-      What `before` returned.
+      The connection that `send_request` returned.
     """
     limits = http_server.Limits(threads=2)
-    one = http_server.HttpServer("test", "127.0.0.1:0", app, limits)
-    one.start()
+    http = http_server.HttpServer("test", "127.0.0.1:0", app, limits)
+    http.start()
     found = []
     library_stop = connections.ConnectionManager.stop
 
     def stop(manager):
         library_stop(manager)
-        found.append(before(one, kept))
+        found.append(send_request(http, kept_connection))
 
     try:
-        kept = connect(one)
-        kept.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-        answer = b""
-        while not answer.endswith(b"no"):
-            answer += kept.recv(4096)
-        while app is busy and not one._server._connections._num_connections:
+        kept_connection = connect(http)
+        kept_connection.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+        response = b""
+        while not response.endswith(b"no"):
+            response += kept_connection.recv(4096)
+        while app is refuse and not http._server._connections._num_connections:
             time.sleep(0.01)
         monkeypatch.setattr(connections.ConnectionManager, "stop", stop)
     finally:
-        one.shut_down()
+        http.shut_down()
     return found[0]
 
 
-def on_kept(_server, kept):
-    kept.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-    return kept
+def send_on_kept_connection(_server, kept_connection):
+    kept_connection.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+    return kept_connection
 
 
-def on_new(server, _kept):
+def send_on_new_connection(server, _kept_connection):
     new = connect(server)
     new.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
     return new
 
 
-def on_answered(_server, kept):
-    kept.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-    Held.gate.set()
-    return kept
+def send_while_answered(_server, kept_connection):
+    kept_connection.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+    BlockingBody.gate.set()
+    return kept_connection
 
 
 @pytest.mark.parametrize(
-    ("app", "before"),
-    [(busy, on_kept), (busy, on_new), (busy_held, on_answered)],
+    ("app", "send_request"),
+    [
+        (refuse, send_on_kept_connection),
+        (refuse, send_on_new_connection),
+        (refuse_blocking, send_while_answered),
+    ],
 )
 def test_a_request_that_came_before_the_port_closed_is_answered(
-    monkeypatch, app, before
+    monkeypatch, app, send_request
 ):
-    """A caller's order was reset at an instance that stopped by plan.
+    """Guards against a reset of a request that arrived before a planned stop.
 
-    The order stood in the instance's buffers when it last looked for work.
-    Its connection was closed with the order unread, so that its caller could
-    not know whether it had run. `http_ending` looks once more, at the port,
-    at kept connections, and at those whose answer has just been written.
+    An order was in the socket's buffer when the instance last polled it. The
+    connection was closed with the order unread, so its caller could not know
+    whether it had been executed. `http_shutdown` polls once more: the port,
+    idle connections, and connections whose response has just been written.
     """
-    caller = answers_at_stop(monkeypatch, app, before)
-    answer = b""
+    caller = stop_server(monkeypatch, app, send_request)
+    response = b""
     while piece := caller.recv(4096):
-        answer += piece
-    assert answer.startswith(b"HTTP/1.1 503")
-    assert b"Connection: close" in answer
-    assert answer.endswith(b"no")
+        response += piece
+    assert response.startswith(b"HTTP/1.1 503")
+    assert b"Connection: close" in response
+    assert response.endswith(b"no")
 
 
 @pytest.mark.parametrize("connection", ["keep-alive", "close"])
 def test_a_refusal_reaches_a_caller_that_still_sends_its_body(connection):
-    """A caller got a reset in place of its refusal.
+    """Guards against a reset in place of a refusal.
 
-    The refusal was written before the body was read. Where the connection
-    ended with it, it was closed with the body unread, and the caller's
-    system met a reset while it still sent. The body is read to its end now.
+    The refusal was written before the body was read. A connection without
+    keep-alive was then closed with the body unread, and the caller got a reset
+    while it was still sending. The body is now read completely.
     """
     limits = http_server.Limits(threads=2)
-    one = http_server.HttpServer("test", "127.0.0.1:0", busy, limits)
-    one.start()
+    http = http_server.HttpServer("test", "127.0.0.1:0", refuse, limits)
+    http.start()
     length = limits.max_body_bytes
     head = f"Connection: {connection}\r\nContent-Length: {length}\r\n\r\n"
     try:
-        with connect(one) as caller:
+        with connect(http) as caller:
             caller.sendall(b"POST / HTTP/1.1\r\nHost: x\r\n" + head.encode())
             caller.sendall(b"x" * length)
             assert caller.recv(4096).startswith(b"HTTP/1.1 503")
     finally:
-        one.shut_down()
+        http.shut_down()
 
 
 def is_connected(caller):
@@ -187,38 +191,40 @@
     return True
 
 
-def test_callers_that_connect_while_the_port_closes_are_not_taken(monkeypatch):
-    """Callers were reset that had connected while an instance's port closed.
+def test_callers_that_connect_while_the_port_closes_are_not_accepted(
+    monkeypatch,
+):
+    """Guards against resets of callers that connect while the port closes.
 
-    Between the last look at the port and its closing other threads may hold
-    the interpreter for milliseconds, and the kernel went on accepting: at
-    24 callers up to 18 were reset at one stop. It has no room for them now.
+    Between the last `accept` and the `close` other threads may hold the
+    interpreter for milliseconds, in which the kernel kept accepting: of 24
+    callers up to 18 were reset at one stop. The backlog is now shrunk first.
     """
     callers = []
-    look = http_shutdown.Connections._from_server_socket
+    accept = http_shutdown.Connections._from_server_socket
 
-    def look_and_connect(manager, listener):
-        found = look(manager, listener)
+    def accept_and_connect(manager, listener):
+        found = accept(manager, listener)
         if found is None and manager._stop_requested:
             for _ in range(8):
                 caller = socket.socket()
                 caller.setblocking(False)
                 caller.connect_ex(listener.getsockname())
                 callers.append(caller)
-            told.append(sum(map(is_connected, callers)))
+            connected_counts.append(sum(map(is_connected, callers)))
         return found
 
-    told = []
+    connected_counts = []
     monkeypatch.setattr(
-        http_shutdown.Connections, "_from_server_socket", look_and_connect
+        http_shutdown.Connections, "_from_server_socket", accept_and_connect
     )
-    one = http_server.HttpServer(
-        "test", "127.0.0.1:0", busy, http_server.Limits(threads=2)
+    http = http_server.HttpServer(
+        "test", "127.0.0.1:0", refuse, http_server.Limits(threads=2)
     )
-    one.start()
-    one.shut_down()
+    http.start()
+    http.shut_down()
     for caller in callers:
         caller.close()
-    # The kernel always has room for one.
+    # The kernel always accepts one connection.
     assert len(callers) == 8
-    assert told[0] <= 1
+    assert connected_counts[0] <= 1
--- a/sesamecross/runtime/http_shutdown.py
+++ b/sesamecross/runtime/http_shutdown.py
@@ -1,8 +1,8 @@
-"""Ends connections of `cheroot` in order: whole answers first, then the end.
+"""Graceful shutdown of `cheroot` connections: responses first, then close.
 
-Why: a request that is whole when a process closes its port must be answered,
-be it by a refusal. A connection that is closed with bytes unread is reset,
-and its caller can't know whether its request has run.
+A request that is complete when a process closes its port must be answered,
+even if with a refusal. A connection closed with unread bytes is reset, and its
+caller can't know whether the request was executed.
 """
 
 from collections.abc import Iterator
@@ -15,55 +15,57 @@
 from cheroot import server
 from cheroot import wsgi
 
-_PIECE_BYTES = 65_536
+_CHUNK_BYTES = 65_536
 
 
 class Request(server.HTTPRequest):
-    """A request whose body is read to its end before it is answered.
+    """A request whose body is read completely before the response is sent.
 
-    The library does so only where the connection is kept. Elsewhere a caller
-    that still sends its body would get a reset and not the answer.
+    The library does so only on connections that are kept alive. On others, a
+    caller that is still sending its body would get a reset instead of the
+    response.
     """
 
     def send_headers(self) -> None:
-        """Sends the head of the answer."""
+        """Sends the status line and headers of the response."""
         if self.server.is_keep_alive_disabled:
-            # Whoever has this answer shall send its next request elsewhere.
+            # The caller must send its next request to another instance.
             self.close_connection = True
-        self._read_rest()
+        self._read_remaining_body()
         super().send_headers()
 
-    def _read_rest(self) -> None:
+    def _read_remaining_body(self) -> None:
         reaper = self.server.reaper
         reaper.begin(self.conn)
         try:
-            for _ in self._pieces():
+            for _ in self._body_chunks():
                 pass
         except (OSError, ValueError, cheroot_errors.MaxSizeExceeded):
-            # The rest does not come; whoever sent this much may still read.
+            # The rest of the body won't arrive, but the caller may still read
+            # the response.
             self.close_connection = True
         finally:
             reaper.end(self.conn)
 
-    def _pieces(self) -> Iterator[bytes]:
+    def _body_chunks(self) -> Iterator[bytes]:
         if self.chunked_read:
-            while piece := self.rfile.read(_PIECE_BYTES):
-                yield piece
+            while chunk := self.rfile.read(_CHUNK_BYTES):
+                yield chunk
             return
-        while left := getattr(self.rfile, "remaining", 0):
-            piece = self.rfile.read(min(left, _PIECE_BYTES))
-            if not piece:
+        while remaining := getattr(self.rfile, "remaining", 0):
+            chunk = self.rfile.read(min(remaining, _CHUNK_BYTES))
+            if not chunk:
                 raise ValueError("the body ended early")
-            yield piece
+            yield chunk
 
 
 class Connections(connections.ConnectionManager):
-    """The library's idle connections and listener, with a last look.
+    """Connection manager that serves late requests while it stops.
 
-    Between the library's last look for work and the closing of the port,
-    requests go on arriving. They are taken in here. What is left is a
-    connection that the kernel takes in between the last `accept` and the
-    `close`: it is reset unread, and its caller can tell that.
+    Requests keep arriving between the library's last poll and the closing of
+    the port; these are served here. What remains is a connection that the
+    kernel accepts between the last `accept` and the `close`: it is reset
+    unread, which its caller can detect.
     """
 
     def __init__(self, http_server: Any):
@@ -71,13 +73,13 @@
         self._listener = http_server.socket
 
     def stop(self) -> None:
-        """Ends the loop, takes what waits, and closes the port."""
+        """Stops the loop, serves pending requests and closes the port."""
         super().stop()
         self._selector.unregister(self._listener.fileno())
-        # No room for more: who comes now asks the kernel again a second later
-        # and is refused then. Else callers that connect between the last
-        # `accept` and the `close` would be reset, in whose time other threads
-        # may hold the interpreter for milliseconds.
+        # Shrinks the backlog: a caller that connects now retries its SYN a
+        # second later and is refused then. Otherwise callers that connect
+        # between the last `accept` and the `close` would be reset; other
+        # threads may hold the interpreter for milliseconds in that window.
         self._listener.listen(0)
         self._listener.setblocking(False)
         for _ in range(self.server.request_queue_size):
@@ -87,7 +89,7 @@
             self.server.process_conn(connection)
         with contextlib.suppress(OSError):
             self._listener.close()
-        # The library would open a connection to it, to wake its loop.
+        # Else the library would connect to the socket to wake its loop.
         self.server.socket = None
         for descriptor, connection in list(self._selector.select(timeout=0)):
             self._selector.unregister(descriptor)
@@ -95,10 +97,11 @@
 
 
 class Server(wsgi.Server):
-    """The library's server with these requests and connections.
+    """A `cheroot` server with graceful shutdown.
 
     Attributes:
-      leaving: Whether each connection ends with the next answer on it.
+      is_keep_alive_disabled: Whether each connection is closed after its next
+        response.
     """
 
     is_keep_alive_disabled = False
@@ -106,15 +109,16 @@
     def prepare(self) -> None:
         """Binds the address."""
         super().prepare()
-        # The library has no setting for it, and has just made its own.
+        # The library has no setting for the connection manager and has just
+        # created its own.
         self._connections.close()
         self._connections = Connections(self)
 
     def put_conn(self, conn: Any) -> None:
-        """Keeps a connection whose request has been answered.
+        """Returns a connection to the pool after a response.
 
-        Where the server stops, the library would close it, also when the
-        next request has come meanwhile.
+        While the server stops, the library would close the connection even if
+        the next request has already arrived.
         """
         if not self.ready and _has_request(conn):
             with contextlib.suppress(OSError):
@@ -122,13 +126,13 @@
         try:
             super().put_conn(conn)
         except (ValueError, KeyError, OSError, RuntimeError):
-            # The server stopped since the library looked whether it does.
+            # The server stopped after the library checked its state.
             conn.close()
 
 
 def _has_request(connection: Any) -> bool:
     if connection.rfile.has_data():
         return True
-    waiting = select.poll()
-    waiting.register(connection.socket, select.POLLIN)
-    return bool(waiting.poll(0))
+    poller = select.poll()
+    poller.register(connection.socket, select.POLLIN)
+    return bool(poller.poll(0))
--- a/sesamecross/runtime/initial_settings.py
+++ b/sesamecross/runtime/initial_settings.py
@@ -1,9 +1,9 @@
-"""Waits a little for the settings with which a process starts.
+"""Loads the settings at startup, with retries while they can't be read.
 
-Why: the platform writes the settings file at each start and whenever the
-settings change, so a process may start while its file is half written or not
-there. To end then costs a second start, and looks like an end by itself. A
-file that stays wrong is told as before, only later.
+The platform writes the settings file at each start and whenever the settings
+change, so a process may start while its file is missing or half written.
+Exiting then would cost a second start and look like a crash. An error that
+persists is reported as usual, only later.
 """
 
 from collections.abc import Callable
@@ -16,9 +16,8 @@
 
 from sesamecross.runtime import signals
 
-# Together three seconds. Writing a few kilobytes takes milliseconds, also
-# where it is done in steps; the platform replaces a process only after it has
-# ended.
+# Three seconds in total. Writing a few kilobytes takes milliseconds, even in
+# several steps; the platform replaces a process only after it has exited.
 MAX_ATTEMPTS = 30
 RETRY_INTERVAL_S = 0.1
 
@@ -31,23 +30,24 @@
     pending_signals: signals.PendingSignals,
     is_transient: Callable[[_Error], bool] = lambda _: True,
 ) -> Result[_Settings, _Error]:
-    """Returns the settings once they can be read, or their last error.
+    """Returns the settings, or the error of the last attempt.
 
     Args:
-      load: Reads them.
-      inbox: Gets the process's signals; who asks for a stop ends the wait.
-      may_pass: Whether an error may go by itself.
+      load: Reads the settings.
+      pending_signals: The process's signals; a stop request ends the wait.
+      is_transient: Whether an error may disappear without a change by an
+        operator.
     """
     loaded = load()
-    for look in range(1, MAX_ATTEMPTS):
+    for attempt in range(1, MAX_ATTEMPTS):
         if isinstance(loaded, Success) or not is_transient(loaded.failure()):
             break
         if pending_signals.is_stop_requested:
             break
-        if look == 1:
+        if attempt == 1:
             print(
                 f"settings can't be read yet ({loaded.failure()}),"
-                " looking again for up to"
+                " retrying for up to"
                 f" {MAX_ATTEMPTS * RETRY_INTERVAL_S:g} s",
                 file=sys.stderr,
             )
--- a/sesamecross/runtime/initial_settings_test.py
+++ b/sesamecross/runtime/initial_settings_test.py
@@ -1,4 +1,4 @@
-"""Tests of a process that starts while its settings file is written."""
+"""Tests of a process that starts while its settings file is being written."""
 
 import signal
 import sys
@@ -13,7 +13,7 @@
 from sesamecross.runtime import logs
 from sesamecross.runtime import signals
 
-WHOLE = """
+COMPLETE_SETTINGS = """
 instance = "e1"
 zone = "z1"
 region = "r1"
@@ -24,11 +24,11 @@
 
 
 class _Started(Exception):
-    """The process has its settings and would begin its work."""
+    """The process has its settings and would start."""
 
 
-def _start(taken):
-    raise _Started(taken)
+def _start(settings_read):
+    raise _Started(settings_read)
 
 
 class _Writer:
@@ -54,13 +54,13 @@
     def sleep(self, seconds):
         self.slept_s += seconds
         if self.is_stopped:
-            # As the signal's handler does.
+            # Counts the signal as its handler does.
             self.pending_signals._on_signal(signal.SIGTERM, None)
         self.write()
 
 
-def launched(tmp_path, monkeypatch, texts, *flags):
-    """Returns what becomes of a start, and what was written and slept."""
+def prepare_launch(tmp_path, monkeypatch, texts, *flags):
+    """Returns the file's writer, and a function that runs the launch."""
     path = tmp_path / "entry.toml"
     writer = _Writer(path, texts)
     monkeypatch.setattr(time, "sleep", writer.sleep)
@@ -73,57 +73,71 @@
     )
 
 
-WRITTEN = [
-    pytest.param([WHOLE[:40], WHOLE], id="cut in a line"),
-    pytest.param(["", WHOLE], id="empty"),
-    pytest.param([None, WHOLE], id="not there yet"),
-    pytest.param(["zone = 'Sl\udcc3", WHOLE], id="half a character"),
-    pytest.param([WHOLE[:50], WHOLE[:90], None, WHOLE], id="slowly"),
+PARTIAL_WRITES = [
+    pytest.param(
+        [COMPLETE_SETTINGS[:40], COMPLETE_SETTINGS], id="truncated line"
+    ),
+    pytest.param(["", COMPLETE_SETTINGS], id="empty"),
+    pytest.param([None, COMPLETE_SETTINGS], id="missing"),
+    pytest.param(
+        ["zone = 'Sl\udcc3", COMPLETE_SETTINGS], id="truncated character"
+    ),
+    pytest.param(
+        [
+            COMPLETE_SETTINGS[:50],
+            COMPLETE_SETTINGS[:90],
+            None,
+            COMPLETE_SETTINGS,
+        ],
+        id="slowly",
+    ),
 ]
 
 
-@pytest.mark.parametrize("texts", WRITTEN)
+@pytest.mark.parametrize("texts", PARTIAL_WRITES)
 def test_a_start_waits_until_its_file_is_written(tmp_path, monkeypatch, texts):
-    """Processes ended in the second in which their settings changed.
+    """Guards against an exit when the settings file is half written.
 
-    One that started while its file was being written read half of it, took
-    that for an operator's mistake, and ended with code 1. Half a file and a
-    mistake look alike; only some time tells them apart.
+    A process that started while its file was being written treated the partial
+    content as an operator's mistake and exited with code 1. Only waiting can
+    distinguish the two.
     """
-    _, start = launched(tmp_path, monkeypatch, texts)
+    _, start = prepare_launch(tmp_path, monkeypatch, texts)
     with pytest.raises(_Started) as started:
         start()
     assert started.value.args[0].instance == "e1"
 
 
-def test_a_file_that_stays_wrong_ends_the_start_with_its_error(
+def test_a_file_that_stays_invalid_fails_the_start(
     tmp_path, monkeypatch, capsys
 ):
-    writer, start = launched(tmp_path, monkeypatch, ['zone = "z1"'])
+    writer, start = prepare_launch(tmp_path, monkeypatch, ['zone = "z1"'])
     assert start() == 1
     assert "shared_key: is missing" in capsys.readouterr().err
     assert writer.slept_s < 5
 
 
-def test_a_wrong_flag_is_told_at_once(tmp_path, monkeypatch, capsys):
-    # No file will mend it.
-    writer, start = launched(
-        tmp_path, monkeypatch, [WHOLE], "--threads", "many"
+def test_an_invalid_flag_is_reported_at_once(tmp_path, monkeypatch, capsys):
+    # A change of the file can't fix a flag.
+    writer, start = prepare_launch(
+        tmp_path, monkeypatch, [COMPLETE_SETTINGS], "--threads", "many"
     )
     assert start() == 1
     assert "flag --threads" in capsys.readouterr().err
     assert writer.slept_s == 0
 
 
-def test_a_stop_is_heard_while_a_start_waits_for_its_file(
+def test_a_stop_request_ends_the_wait_for_the_settings_file(
     tmp_path, monkeypatch
 ):
-    """A process that was told to stop went on waiting for three seconds.
+    """Guards against a stop request that is ignored while a start waits.
 
-    Its settings file was half written, and it looked at the file only. Then
-    it ended with code 1, as if it had failed.
+    The process kept retrying its half-written settings file for three seconds
+    and then exited with code 1, as if it had failed.
     """
-    writer, start = launched(tmp_path, monkeypatch, [WHOLE[:40]])
+    writer, start = prepare_launch(
+        tmp_path, monkeypatch, [COMPLETE_SETTINGS[:40]]
+    )
     writer.is_stopped = True
     assert start() == application.EXIT_OK
     assert writer.slept_s == initial_settings.RETRY_INTERVAL_S
--- a/sesamecross/runtime/launch.py
+++ b/sesamecross/runtime/launch.py
@@ -1,7 +1,6 @@
-"""Starts a process from its settings: the same for every program.
+"""Starts a program: parses flags, loads settings, configures logs, runs it.
 
-Why: flags, settings, their errors, logs and the exit code must not differ
-from program to program.
+Every program handles flags, settings errors, logs and exit codes the same way.
 """
 
 import argparse
@@ -25,16 +24,16 @@
 def launch(
     description: str,
     settings_class: type,
-    make: Callable[[Any], application.Hooks],
+    make_hooks: Callable[[Any], application.Hooks],
     pending_signals: signals.PendingSignals,
 ) -> int:
-    """Runs a program to its end.
+    """Runs a program until it exits.
 
     Args:
-      description: What the program is, for its help.
-      settings_class: The record of its settings.
-      make: Makes the application object from checked settings.
-      inbox: Gets the process's signals.
+      description: The description in the program's help.
+      settings_class: The dataclass of its settings.
+      make_hooks: Creates the process's hooks from valid settings.
+      inbox: The process's signals.
 
     Returns:
       The exit code.
@@ -45,7 +44,7 @@
     loaded = initial_settings.load_with_retry(
         functools.partial(settings_lib.load, settings_class, flags, os.environ),
         pending_signals,
-        functools.partial(_is_of_file, flags.settings),
+        functools.partial(_concerns_file, flags.settings),
     )
     if isinstance(loaded, Failure):
         for problem in loaded.failure():
@@ -55,12 +54,12 @@
     logs.configure(
         settings.log_level, settings.log_format, instance=settings.instance
     )
-    return application.Application(make(settings), pending_signals).run()
+    return application.Application(make_hooks(settings), pending_signals).run()
 
 
-def _is_of_file(path: str | None, problems: list[errors.Problem]) -> bool:
-    """Whether a problem is the file's, which may still be being written."""
+def _concerns_file(path: str | None, problems: list[errors.Problem]) -> bool:
+    """Whether a problem is in the file, which may still be being written."""
     if not path:
         return False
     name = pathlib.Path(path).name
-    return any(pathlib.Path(one.file).name == name for one in problems)
+    return any(pathlib.Path(problem.file).name == name for problem in problems)
--- a/sesamecross/runtime/logs.py
+++ b/sesamecross/runtime/logs.py
@@ -1,8 +1,8 @@
-"""Structured logs: short sentences with a fixed prefix for each part.
+"""Structured logs: short messages with a fixed prefix for each component.
 
-Why: somebody on call greps for one part or one correlation id over all
-processes. JSON lines by default, text for a terminal. Secrets are never
-passed to a logger; callers are named, not their keys.
+The prefix and the correlation id let an operator grep for one component or one
+request over all processes. Lines are JSON by default, or text for a terminal.
+Secrets are never passed to a logger: callers are logged by name, not by key.
 """
 
 import logging
@@ -24,14 +24,14 @@
 def configure(
     level: str, log_format: str, stream: Any = None, **fixed: str
 ) -> None:
-    """Sets up the process's logs.
+    """Configures the process's logs.
 
     Args:
       level: One of debug, info, warning, error.
       log_format: "json" for lines of JSON, "text" for a terminal.
-      stream: Where lines go; standard error if it is None, without ever
-        waiting for whoever reads it.
-      **fixed: Fields that every line bears, such as the instance.
+      stream: The output stream; if None, standard error without ever
+        blocking on its reader.
+      **fixed: Fields added to every line, such as the instance.
     """
     if stream is None:
         stream = bounded_output.BoundedOutput.of_stream(
@@ -73,5 +73,5 @@
 
 
 def get_logger(name: str) -> structlog.stdlib.BoundLogger:
-    """Returns the logger of one part; its lines begin with `name`."""
+    """Returns the logger of one component; its lines begin with `name`."""
     return structlog.get_logger(part=name)
--- a/sesamecross/runtime/metrics.py
+++ b/sesamecross/runtime/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics of a process, in the standard names and units.
+"""Process metrics in Prometheus format.
 
-Why: one place that knows the library. Counters end in `_total`, times are in
-seconds, sizes in bytes. The library's collectors read, add and write in
-separate steps, so updates from several threads are guarded by a lock here;
+This is the only module that uses the metrics library. Names of counters end in
+`_total`, times are in seconds, sizes in bytes. The library's collectors read,
+add and write in separate steps, so a lock guards updates from several threads;
 without it increments would be lost under load.
 """
 
@@ -32,7 +32,7 @@
 
 
 class Metrics:
-    """A process's counters, gauges and histograms. Safe for threads."""
+    """A process's counters, gauges and histograms. Thread-safe."""
 
     __slots__ = ("_registry", "_collectors", "_lock")
 
@@ -65,15 +65,15 @@
                 aioprometheus.Histogram, name, doc, buckets=buckets
             ).observe(labels, value)
 
-    def _collector(self, cls: type, name: str, doc: str, **more):
+    def _collector(self, cls: type, name: str, doc: str, **options):
         if name not in self._collectors:
             self._collectors[name] = cls(
-                name, doc, registry=self._registry, **more
+                name, doc, registry=self._registry, **options
             )
         return self._collectors[name]
 
     def render(self) -> tuple[bytes, str]:
-        """Returns the text form and its content type."""
+        """Returns the text exposition format and its content type."""
         with self._lock:
             body, headers = aioprometheus.render(self._registry, ["text/plain"])
         return body, headers["Content-Type"]
--- a/sesamecross/runtime/signal_log.py
+++ b/sesamecross/runtime/signal_log.py
@@ -1,8 +1,8 @@
-"""Tells of the signals of a process, in a bounded number of lines.
+"""Logs the signals of a process at a limited rate.
 
-Why: from its lines alone it must be clear what a process was sent and what it
-did about it. A tool that signals in a loop must not fill the log: lines to
-standard error have no other bound.
+The log alone must show which signals a process got and how it reacted. A tool
+that sends signals in a loop must not fill the log: lines written to standard
+error have no other limit.
 """
 
 from collections.abc import Callable
@@ -11,14 +11,15 @@
 import time
 from typing import Any
 
-# For each signal by itself, so that a flood of one hides no other. Planned work
-# comes in series, of some dozens of signals at the most; each keeps its line.
+# Burst and rate of a signal's token bucket. Each signal has its own, so that a
+# flood of one hides no other. Planned maintenance sends a few dozen signals in
+# a row at most; each of them is logged.
 BURST_LINES = 40.0
 LINES_PER_S = 1.0
 
 
 class Phase(enum.StrEnum):
-    """Where in its life a process is."""
+    """Lifecycle phase of a process."""
 
     BEFORE_START = "before the start"
     RUNNING = "running"
@@ -26,19 +27,19 @@
     STOPPED = "stopped"
 
 
-class _Lines:
-    """How many lines about one signal may be written now."""
+class _TokenBucket:
+    """Rate limiter for the lines about one signal."""
 
-    __slots__ = ("_at_s", "_tokens")
+    __slots__ = ("_refilled_s", "_tokens")
 
     def __init__(self, now_s: float):
-        self._at_s = now_s
+        self._refilled_s = now_s
         self._tokens = BURST_LINES
 
     def take(self, now_s: float) -> bool:
-        grown = self._tokens + (now_s - self._at_s) * LINES_PER_S
-        self._tokens = min(BURST_LINES, grown)
-        self._at_s = now_s
+        refilled = self._tokens + (now_s - self._refilled_s) * LINES_PER_S
+        self._tokens = min(BURST_LINES, refilled)
+        self._refilled_s = now_s
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -46,22 +47,22 @@
 
 
 class SignalLog:
-    """Writes a line for each signal while there is room, and counts all."""
+    """Logs each signal within the rate limit, and counts all of them."""
 
-    __slots__ = ("_log", "_clock", "_lines", "_received")
+    __slots__ = ("_log", "_clock", "_buckets", "_received")
 
     def __init__(self, log: Any, clock: Callable[[], float] = time.monotonic):
         self._log = log
         self._clock = clock
-        self._lines: dict[str, _Lines] = {}
+        self._buckets: dict[str, _TokenBucket] = {}
         self._received: dict[str, int] = {}
 
     @property
     def received(self) -> dict[str, int]:
-        """How often each signal came, with those that have no line."""
+        """Number of times each signal arrived, whether logged or not."""
         return dict(self._received)
 
-    def tell(
+    def log_signal(
         self,
         event: str,
         number: signal.Signals,
@@ -69,16 +70,19 @@
         phase: Phase,
         action: str,
     ) -> None:
-        """Tells of a signal that came `count` times since the last look.
+        """Logs a signal that arrived `count` times since it was last handled.
 
         Args:
-          event: The line's text.
-          action: What is done about it.
+          event: The text of the log line.
+          number: The signal.
+          count: Number of arrivals.
+          phase: The process's phase.
+          action: How the process reacts.
         """
         name = number.name
         self._received[name] = self._received.get(name, 0) + count
         now_s = self._clock()
-        if not self._lines.setdefault(name, _Lines(now_s)).take(now_s):
+        if not self._buckets.setdefault(name, _TokenBucket(now_s)).take(now_s):
             return
         self._log.info(
             event, signal=name, times=count, phase=phase.value, action=action
--- a/sesamecross/runtime/signal_wakeup.py
+++ b/sesamecross/runtime/signal_wakeup.py
@@ -1,10 +1,11 @@
-"""Wakes an event loop when a signal comes.
-
-Why: a loop that waits for its sockets doesn't notice a signal that another
-thread of the process got. The interpreter writes to a socket of ours as soon
-as any signal comes, and the loop waits for that socket too. The loop's own
-`add_signal_handler` would do the same, but takes the handlers away as it
-closes, and the default action ends the process in its last moments.
+"""Wakes an event loop when a signal arrives.
+
+A loop that waits for its sockets doesn't notice a signal that was delivered to
+another thread of the process. The interpreter therefore writes to a socket
+pair on any signal, and the loop waits for that socket too. The loop's own
+`add_signal_handler` would do the same, but removes the handlers when the loop
+closes, and a signal that arrives before the process has exited would then kill
+it by the default action.
 """
 
 import asyncio
@@ -21,10 +22,10 @@
 def notify_on_signal(
     loop: asyncio.AbstractEventLoop, on_signal: Callable[[], None]
 ) -> Iterator[None]:
-    """Has `on_signal` called in the loop after signals; in the main thread.
+    """Calls `on_signal` in the loop after signals; main thread only.
 
-    One call may stand for several signals: what is written to the socket only
-    wakes, so that nothing is lost when it is full.
+    One call may stand for several signals. The bytes on the socket only wake
+    the loop, so that no signal is lost when the socket's buffer is full.
     """
     reader, writer = socket.socketpair()
     reader.setblocking(False)
@@ -36,11 +37,13 @@
         on_signal()
 
     loop.add_reader(reader, wake)
-    former = signal.set_wakeup_fd(writer.fileno(), warn_on_full_buffer=False)
+    previous_fd = signal.set_wakeup_fd(
+        writer.fileno(), warn_on_full_buffer=False
+    )
     try:
         yield
     finally:
-        signal.set_wakeup_fd(former)
+        signal.set_wakeup_fd(previous_fd)
         loop.remove_reader(reader)
         reader.close()
         writer.close()
--- a/sesamecross/runtime/signals.py
+++ b/sesamecross/runtime/signals.py
@@ -1,114 +1,113 @@
-"""Holds the planned signals of a process, from its first import to its end.
+"""Catches signals from the first import of a process until it exits.
 
-Why: the platform and operators send signals at any age of a process. Where a
-signal has no handler its default action ends the process and cuts off all
-requests that it serves. So the signals are caught before anything that takes
-time is imported, and kept until the application asks for them.
+The platform and operators may send a signal at any time. A signal without a
+handler ends the process by its default action, which aborts all requests that
+it serves. The handlers are therefore installed before any slow import, and the
+signals are kept as pending until the application handles them.
 
-What is left open is the start of the interpreter itself, before the first
-line of a program, where nothing of ours can catch a signal. Measured from
-outside, by signals that came 1 or 2 ms later from start to start, it lasts
-17 to 23 ms for a bare interpreter and 24 to 36 ms in a virtual environment.
+The startup of the interpreter itself, before the first line of a program, is
+not covered: no handler can be installed then. It lasts 17 to 23 ms for a bare
+interpreter and 24 to 36 ms in a virtual environment, measured from outside by
+signals sent 1 or 2 ms later at each start.
 
-This module imports nothing that takes time, and neither do the packages that
-it is in.
+Neither this module nor the packages that contain it import anything slow.
 """
 
 from collections.abc import Callable
 import signal
 
-# What the platform, operators and their tools send as a matter of course.
-# SIGQUIT is left out: it stays the way to get rid of a process that hangs.
+# Signals that the platform, operators and their tools send in normal operation.
+# SIGQUIT is not among them, so that it still ends a process that hangs.
 HANDLED_SIGNALS = (
     signal.SIGTERM,
     signal.SIGINT,
     signal.SIGHUP,
-    # Tools that rotate logs send these.
+    # Sent by log rotation tools.
     signal.SIGUSR1,
     signal.SIGUSR2,
 )
-_STOPS = (signal.SIGTERM, signal.SIGINT)
-# What asks a tool at a terminal to stop; the last one as it is closed.
+_STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+# Signals that stop a command-line tool. SIGHUP means that its terminal closed.
 CLI_STOP_SIGNALS = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)
 
 
 class PendingSignals:
-    """The signals that came and that nobody has taken yet.
+    """Counts the signals that arrived and have not been handled yet.
 
-    They are counted by Python's own handlers, which run in the main thread.
-    A count by signal can't overflow, as a buffer of single signals could when
-    a flood of one of them comes before the application runs.
+    Python's signal handlers, which run in the main thread, do the counting. A
+    counter for each signal can't overflow, unlike a buffer of single signals
+    when a flood of one of them arrives before the application runs.
     """
 
-    __slots__ = ("_arrived",)
+    __slots__ = ("_counts",)
 
     def __init__(self) -> None:
-        self._arrived = _none_arrived()
+        self._counts = _zero_counts()
 
     @classmethod
-    def open(cls) -> "PendingSignals":
-        """Returns an inbox that from now on gets the planned signals."""
+    def install(cls) -> "PendingSignals":
+        """Installs the handlers; returns the object that counts signals."""
         pending_signals = cls()
         for number in HANDLED_SIGNALS:
             signal.signal(number, pending_signals._on_signal)
-            # Calls that are under way in libraries go on.
+            # System calls of libraries are restarted, not interrupted.
             signal.siginterrupt(number, False)
-        # A process inherits what its parent had blocked; blocked signals wait
-        # for ever, and a stop would end with the kill.
+        # A process inherits its parent's signal mask. A blocked signal is never
+        # delivered, and a stop request would end in SIGKILL.
         signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
         return pending_signals
 
     @property
     def is_stop_requested(self) -> bool:
-        """Whether a stop was asked for that nobody has taken yet."""
-        return any(self._arrived[number] for number in _STOPS)
+        """Whether a stop request is pending."""
+        return any(self._counts[number] for number in _STOP_SIGNALS)
 
     def take(self) -> dict[signal.Signals, int]:
-        """Returns how often each signal came since this was last asked."""
-        arrived, self._arrived = self._arrived, _none_arrived()
-        return {number: count for number, count in arrived.items() if count}
+        """Returns the number of arrivals by signal, and resets the counts."""
+        counts, self._counts = self._counts, _zero_counts()
+        return {number: count for number, count in counts.items() if count}
 
-    def close(self) -> None:
-        """Has the planned signals ignored until the process is gone.
+    def ignore_all(self) -> None:
+        """Ignores the handled signals until the process has exited.
 
-        The interpreter takes handlers of its own kind away before it ends,
-        and the default action would then change the exit code. What is
-        ignored stays ignored. The signals leave no trace from here on.
+        The interpreter removes Python handlers before it exits, and the default
+        action of a signal would then change the exit code. An ignored signal
+        stays ignored. Signals are no longer counted from here on.
         """
         for number in HANDLED_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
 
     def _on_signal(self, number: int, _frame: object) -> None:
-        # No call between reading and writing the count: another signal's
-        # handler can't come between them.
-        self._arrived[number] += 1
+        # There is no call between reading and writing the count, so no other
+        # signal's handler can run in between.
+        self._counts[number] += 1
 
 
-def _none_arrived() -> dict[signal.Signals, int]:
+def _zero_counts() -> dict[signal.Signals, int]:
     return dict.fromkeys(HANDLED_SIGNALS, 0)
 
 
-def run_with_deferred_signals(body: Callable[[PendingSignals], int]) -> int:
-    """Runs a program while its signals are held.
+def run_with_deferred_signals(program: Callable[[PendingSignals], int]) -> int:
+    """Runs a program with its signals kept pending until it handles them.
 
-    A script calls this first and imports what it runs in `body`: the imports
-    take 0.2 to 0.35 s, in which signals have to be held already.
+    A script calls this first and does its imports in `program`: they take 0.2
+    to 0.35 s, during which signals must already be caught.
 
     Returns:
-      The exit code that `body` returns.
+      The exit code that `program` returns.
     """
-    pending_signals = PendingSignals.open()
+    pending_signals = PendingSignals.install()
     try:
-        return body(pending_signals)
+        return program(pending_signals)
     finally:
-        pending_signals.close()
+        pending_signals.ignore_all()
 
 
 def install_cli_handler(handler: Callable[[int, object], None]) -> None:
-    """Has a tool's handler called for what asks it to stop.
+    """Installs a command-line tool's handler for the signals that stop it.
 
-    A closed terminal stops no tool that was started to outlive it: who
-    started it had the signal ignored then, as `nohup` does, and so it stays.
+    SIGHUP stays ignored if it was ignored at startup, as by `nohup`, so that
+    the tool outlives its terminal.
     """
     for number in CLI_STOP_SIGNALS:
         is_ignored = signal.getsignal(number) is signal.SIG_IGN
--- a/sesamecross/runtime/signals_test.py
+++ b/sesamecross/runtime/signals_test.py
@@ -1,4 +1,4 @@
-"""Tests of what holds signals until an application asks for them."""
+"""Tests of pending signals and of the event loop's wakeup."""
 
 import asyncio
 import signal
@@ -9,26 +9,26 @@
 from sesamecross.runtime import signal_wakeup
 from sesamecross.runtime import signals
 
-# Without a wake the loop would sleep for ever.
-HUNG_S = 30.0
+# Without a wakeup the loop would sleep forever.
+HANG_TIMEOUT_S = 30.0
 
 
 @pytest.fixture
 def pending_signals():
-    """Returns an inbox that holds the test run's own signals meanwhile."""
-    former = {
+    """Returns pending signals, with the handlers installed for one test."""
+    previous_handlers = {
         number: signal.getsignal(number) for number in signals.HANDLED_SIGNALS
     }
-    yield signals.PendingSignals.open()
-    for number, handler in former.items():
+    yield signals.PendingSignals.install()
+    for number, handler in previous_handlers.items():
         signal.signal(number, handler)
 
 
-def test_a_flood_before_the_start_hides_no_stop(pending_signals):
-    """A stop was lost behind a flood of other signals.
+def test_a_flood_before_the_start_does_not_hide_a_stop(pending_signals):
+    """Guards against a stop request lost in a flood of other signals.
 
-    Single signals, kept in a socket until the application ran, filled it
-    after some hundreds; what came then was dropped.
+    Signals were buffered one by one in a socket until the application ran. It
+    was full after some hundreds, and later signals were dropped.
     """
     flood = 100_000
     for _ in range(flood):
@@ -42,31 +42,31 @@
 
 
 def test_a_signal_that_another_thread_gets_wakes_the_loop(pending_signals):
-    """A process that waited for its sockets did not notice its signal.
+    """Guards against a loop that sleeps on after a signal.
 
-    The system may give a signal to any thread. The main thread, in which
-    handlers run, slept on and went on only when something else came.
+    The system may deliver a signal to any thread. The main thread, in which
+    handlers run, kept waiting for its sockets until another event arrived.
     """
-    asked = threading.Event()
+    is_loop_waiting = threading.Event()
 
-    def get_signal() -> None:
-        asked.wait()
+    def send_to_this_thread() -> None:
+        is_loop_waiting.wait()
         signal.pthread_kill(threading.get_ident(), signal.SIGHUP)
 
-    async def play() -> dict:
+    async def scenario() -> dict:
         loop = asyncio.get_running_loop()
         taken = loop.create_future()
 
         def take() -> None:
-            # A signal may come in two wakes; the second finds none.
+            # One signal may cause two wakeups; the second finds no signal.
             if arrived := pending_signals.take():
                 taken.set_result(arrived)
 
         with signal_wakeup.notify_on_signal(loop, take):
-            loop.call_soon(asked.set)
-            return await asyncio.wait_for(taken, HUNG_S)
+            loop.call_soon(is_loop_waiting.set)
+            return await asyncio.wait_for(taken, HANG_TIMEOUT_S)
 
-    thread = threading.Thread(target=get_signal)
+    thread = threading.Thread(target=send_to_this_thread)
     thread.start()
-    assert asyncio.run(play()) == {signal.SIGHUP: 1}
+    assert asyncio.run(scenario()) == {signal.SIGHUP: 1}
     thread.join()
--- a/sesamecross/runtime/supervisor.py
+++ b/sesamecross/runtime/supervisor.py
@@ -1,10 +1,11 @@
-"""A supervisor for the components of one process.
-
-Why: a component that fails on something passing, such as a reset, is started
-again with growing pauses while the others go on; one that keeps failing
-takes the process down, so that the platform replaces it instead of leaving
-half a process that answers health checks. Not so a helper, without which
-callers are served: the end of the process would cut off all of them.
+"""Supervisor for the components of one process.
+
+A component that fails for a transient reason, such as a connection reset, is
+restarted with exponential backoff while the others keep running. One that keeps
+failing ends the process, so that the platform replaces it instead of keeping a
+half-working process that still answers health checks. Helpers are exempt:
+callers are served without them, and ending the process would cut off all
+callers.
 """
 
 import asyncio
@@ -21,27 +22,27 @@
 
 
 class Component(Protocol):
-    """A part of a process with a life of its own.
+    """A part of a process that runs as its own task.
 
-    One with a true `is_vital` is not started again: its failure ends the
-    process. One with a true `is_helper` is started again however often it
-    fails: callers are served without it, and a new process would mend nothing
-    that a new start of the component doesn't.
+    A component with a true `is_vital` is not restarted: its failure ends the
+    process. One with a true `is_helper` is restarted however often it fails:
+    callers are served without it, and a new process would repair nothing that a
+    restart of the component doesn't.
     """
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The prefix of its log lines."""
 
     async def run(self) -> None:
-        """Works until cancelled. Returning early counts as done."""
+        """Runs until cancelled. A component that returns is not restarted."""
 
     async def stop(self) -> None:
-        """Finishes what was begun; called once before `run` is cancelled."""
+        """Finishes open work; called once, before `run` is cancelled."""
 
 
 class Clock(Protocol):
-    """The time by which restarts are counted, and how it passes."""
+    """Clock for restart windows and backoff; replaced in tests."""
 
     @property
     def now_s(self) -> float:
@@ -52,7 +53,7 @@
 
 
 class EventLoopClock:
-    """The event loop's time."""
+    """The event loop's clock."""
 
     __slots__ = ()
 
@@ -67,7 +68,7 @@
 
 
 class ComponentFailed(Exception):
-    """A component failed more often than a restart can help."""
+    """A component failed and is not restarted."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -78,7 +79,7 @@
 
 
 class Supervisor:
-    """Starts components in order, restarts them, stops them in reverse."""
+    """Starts components in order, restarts them, and stops them in reverse."""
 
     __slots__ = ("_children", "_time", "_log", "_failed")
 
@@ -93,15 +94,15 @@
         self._failed = asyncio.get_running_loop().create_future()
         for child in self._children:
             child.task = asyncio.create_task(
-                self._keep_running(child), name=child.component.name
+                self._run_with_restarts(child), name=child.component.name
             )
 
     async def wait_for_failure(self) -> None:
-        """Waits until a component is given up, and raises why."""
+        """Waits until a component is given up, and raises the cause."""
         await self._failed
 
     async def stop(self) -> None:
-        """Stops all components, the last one started first."""
+        """Stops all components in reverse startup order."""
         for child in reversed(self._children):
             try:
                 await child.component.stop()
@@ -111,12 +112,12 @@
                     component=child.component.name,
                 )
             if child.task is not None:
-                await _cancelled(child.task)
+                await _cancel_until_done(child.task)
 
-    async def _keep_running(self, child: _Child) -> None:
-        pause = INITIAL_BACKOFF_S
+    async def _run_with_restarts(self, child: _Child) -> None:
+        backoff_s = INITIAL_BACKOFF_S
         while True:
-            begun_s = self._time.now_s
+            started_s = self._time.now_s
             try:
                 await child.component.run()
                 return
@@ -126,16 +127,16 @@
                 if not self._may_restart(child):
                     self._give_up(child, error)
                     return
-                if self._time.now_s - begun_s >= RESTART_WINDOW_S:
-                    # It ran well: what failed before is over.
-                    pause = INITIAL_BACKOFF_S
+                if self._time.now_s - started_s >= RESTART_WINDOW_S:
+                    # It ran long enough: resets the backoff.
+                    backoff_s = INITIAL_BACKOFF_S
                 self._log.exception(
-                    "component failed and is started again",
+                    "component failed, restarting it",
                     component=child.component.name,
-                    pause_s=pause,
+                    pause_s=backoff_s,
                 )
-            await self._time.sleep(pause)
-            pause = min(pause * 2, MAX_BACKOFF_S)
+            await self._time.sleep(backoff_s)
+            backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
 
     def _may_restart(self, child: _Child) -> bool:
         if getattr(child.component, "is_vital", False):
@@ -144,24 +145,28 @@
             return True
         now = self._time.now_s
         child.failures = [
-            at for at in child.failures if now - at < RESTART_WINDOW_S
+            failed_s
+            for failed_s in child.failures
+            if now - failed_s < RESTART_WINDOW_S
         ]
         child.failures.append(now)
         return len(child.failures) <= MAX_RESTARTS
 
     def _give_up(self, child: _Child, error: Exception) -> None:
-        self._log.error("component is given up", component=child.component.name)
+        self._log.error(
+            "component failed, giving up", component=child.component.name
+        )
         if not self._failed.done():
             failure = ComponentFailed(child.component.name)
             failure.__cause__ = error
             self._failed.set_exception(failure)
 
 
-async def _cancelled(task: asyncio.Task) -> None:
-    """Cancels a task until it has ended.
+async def _cancel_until_done(task: asyncio.Task) -> None:
+    """Cancels a task repeatedly until it has ended.
 
-    A cancellation that comes at the moment in which `asyncio.wait_for` gets
-    its result is lost in Python 3.11, and the task would go on for ever.
+    Python 3.11 loses a cancellation that arrives at the moment in which
+    `asyncio.wait_for` gets its result; the task would then run forever.
     """
     while not task.done():
         task.cancel()
--- a/sesamecross/runtime/supervisor_test.py
+++ b/sesamecross/runtime/supervisor_test.py
@@ -1,4 +1,4 @@
-"""Tests of the supervisor: restarts, giving up, stopping for certain."""
+"""Tests of the supervisor: restarts, giving up, reliable stops."""
 
 import asyncio
 import itertools
@@ -10,8 +10,8 @@
 from sesamecross.runtime import supervisor
 
 
-class Flaky:
-    """Fails a number of times, then works until cancelled."""
+class FlakyComponent:
+    """Fails a number of times, then runs until cancelled."""
 
     def __init__(self, failures, is_vital=False):
         self.name = "flaky"
@@ -30,8 +30,8 @@
         self.stopped = True
 
 
-class Stubborn(Flaky):
-    """Loses its first cancellation, as a race in the library does."""
+class IgnoresFirstCancellation(FlakyComponent):
+    """Loses its first cancellation, as a race in `asyncio.wait_for` does."""
 
     async def run(self):
         try:
@@ -41,7 +41,7 @@
 
 
 def run(component, seconds):
-    async def story():
+    async def scenario():
         tree = supervisor.Supervisor([component])
         tree.start()
         failed = asyncio.create_task(tree.wait_for_failure())
@@ -52,53 +52,53 @@
             await tree.stop()
         return error
 
-    return asyncio.run(story())
+    return asyncio.run(scenario())
 
 
-def test_a_component_that_fails_is_started_again():
-    component = Flaky(1)
+def test_a_failed_component_is_restarted():
+    component = FlakyComponent(1)
     assert run(component, 0.5) is None
     assert (component.runs, component.stopped) == (2, True)
 
 
 @pytest.mark.parametrize(("failures", "vital"), [(1, True)])
-def test_a_vital_component_takes_the_process_with_it(failures, vital):
-    # A steward that does not listen is taken for dead, so it must not go on.
-    component = Flaky(failures, vital)
+def test_a_failed_vital_component_ends_the_process(failures, vital):
+    # Peers consider a steward that does not listen dead, so it must exit.
+    component = FlakyComponent(failures, vital)
     assert isinstance(run(component, 2), supervisor.ComponentFailed)
     assert component.runs == 1
 
 
 def test_a_lost_cancellation_does_not_hang_the_stop():
-    # An entry was told to stop and did not: its link to the steward had just
-    # got an answer when it was cancelled, and went on for ever.
-    assert run(Stubborn(0), 0.1) is None
+    # An entry did not stop: its link to the steward had just got a response
+    # when it was cancelled, and kept running.
+    assert run(IgnoresFirstCancellation(0), 0.1) is None
 
 
-class Played:
-    """Works for the given times, one after the other, and fails after each."""
+class ScriptedComponent:
+    """Fails after each of the given run times, then runs until cancelled."""
 
     name = "played"
 
-    def __init__(self, clock, lasts_s):
+    def __init__(self, clock, run_times_s):
         self.clock = clock
-        self.lasts_s = iter(lasts_s)
+        self.run_times_s = iter(run_times_s)
         self.runs = 0
 
     async def run(self):
         self.runs += 1
-        lasts_s = next(self.lasts_s, None)
-        if lasts_s is None:
+        run_times_s = next(self.run_times_s, None)
+        if run_times_s is None:
             await asyncio.Event().wait()
-        self.clock.now_s += lasts_s
+        self.clock.now_s += run_times_s
         raise OSError("told to fail")
 
     async def stop(self):
         pass
 
 
-class Clock:
-    """The loop's time, moved by what is slept, and the pauses."""
+class FakeClock:
+    """A clock that sleeping advances; records the backoffs."""
 
     def __init__(self):
         self.now_s = 1000.0
@@ -110,17 +110,17 @@
         await asyncio.sleep(0)
 
 
-def play(component_of, most=40):
-    """Lets a component fail; returns the pauses, and why it was given up."""
-    clock = Clock()
+def record_backoffs(component_of, max_pauses=40):
+    """Returns the backoffs of a failing component, and the final error."""
+    clock = FakeClock()
     component = component_of(clock)
 
-    async def story():
+    async def scenario():
         tree = supervisor.Supervisor([component], clock)
         tree.start()
         failed = asyncio.create_task(tree.wait_for_failure())
-        for _ in range(most * 4):
-            if failed.done() or len(clock.pauses) >= most:
+        for _ in range(max_pauses * 4):
+            if failed.done() or len(clock.pauses) >= max_pauses:
                 break
             await asyncio.sleep(0)
         error = failed.exception() if failed.done() else None
@@ -128,18 +128,20 @@
         await tree.stop()
         return error
 
-    return clock.pauses, asyncio.run(story())
+    return clock.pauses, asyncio.run(scenario())
 
 
-def test_a_component_that_ran_well_is_started_again_at_once():
-    """After some resets in a day the store was not read for 5 s at each one.
+def test_a_long_run_resets_the_backoff():
+    """Guards against a backoff that is never reset.
 
-    A follower's pauses grow while it fails, and never went back: the failures
-    of the morning held up the restart of the evening. A run as long as the
-    window in which failures are counted now ends their series.
+    After several connection resets in a day, each further one kept a follower
+    from reading the store for 5 s. A run as long as the restart window now
+    resets the backoff.
     """
-    lasts_s = [0.0] * 6 + [supervisor.RESTART_WINDOW_S + 1.0] + [0.0]
-    pauses, error = play(lambda clock: Played(clock, lasts_s))
+    run_times_s = [0.0] * 6 + [supervisor.RESTART_WINDOW_S + 1.0] + [0.0]
+    pauses, error = record_backoffs(
+        lambda clock: ScriptedComponent(clock, run_times_s)
+    )
     assert error is None
     first_s = supervisor.INITIAL_BACKOFF_S
     assert pauses[:6] == [first_s * 2**n for n in range(6)]
@@ -147,31 +149,35 @@
 
 
 def test_a_component_that_keeps_failing_is_given_up():
-    pauses, error = play(lambda clock: Played(clock, itertools.repeat(0.0)))
+    pauses, error = record_backoffs(
+        lambda clock: ScriptedComponent(clock, itertools.repeat(0.0))
+    )
     assert isinstance(error, supervisor.ComponentFailed)
     assert len(pauses) == supervisor.MAX_RESTARTS
 
 
-class Helper(Played):
-    """A component without which callers are served."""
+class HelperComponent(ScriptedComponent):
+    """A component that callers don't depend on."""
 
     is_helper = True
 
 
 def test_a_helper_that_keeps_failing_does_not_end_the_process():
-    """All streams of an instance were cut because it could not look at a file.
+    """Guards against a helper that ends a process which serves its callers.
 
-    What looks for changed settings failed at each look, was given up after
-    half a minute, and took the process down, which served its callers well.
-    All components were alike to the supervisor.
+    The reloader of settings could not read a file, was given up after half a
+    minute and ended the process, which cut off all streams of the instance.
+    The supervisor treated all components alike.
     """
-    pauses, error = play(lambda clock: Helper(clock, itertools.repeat(0.0)))
+    pauses, error = record_backoffs(
+        lambda clock: HelperComponent(clock, itertools.repeat(0.0))
+    )
     assert error is None
     assert len(pauses) == 40
     assert pauses[-1] == supervisor.MAX_BACKOFF_S
 
 
 @pytest.mark.parametrize("component", [reloader.Reloader, sweeper.Sweeper])
-def test_what_callers_do_not_need_is_a_helper(component):
+def test_components_that_callers_do_not_need_are_helpers(component):
     assert component.is_helper
     assert not component.is_vital
