--- a/sesamecross/parser/__init__.py
+++ b/sesamecross/parser/__init__.py
@@ -1,1 +1,1 @@
-"""From files to records: settings and declarations."""
+"""Parses and validates settings and declarations."""
--- a/sesamecross/parser/crosschecks.py
+++ b/sesamecross/parser/crosschecks.py
@@ -1,7 +1,7 @@
-"""Checks that need more than one table: names and sums.
+"""Checks across tables: references between them and memory totals.
 
-Why: a model whose promise is not declared, or must-stay models that no set
-of engines can hold, would be found at night by a caller.
+Without them, a model whose promise is not declared, or must-stay models that
+no set of engines can hold, would only show up as failing calls in production.
 """
 
 from collections.abc import Iterator
@@ -13,7 +13,7 @@
 
 Tree = dict[str, Any]
 
-# (table, key, table that the value names, whether "*" is allowed)
+# (table, key, table that the value refers to, whether "*" is allowed)
 _REFERENCES = (
     ("zones", "region", "regions", False),
     ("upstreams", "zone", "zones", False),
@@ -27,25 +27,25 @@
 
 
 def dangling_references(tree: Tree) -> Iterator[tables.KeyProblem]:
-    """Yields an error for each name that nothing declares."""
-    for table, key, target, any_allowed in _REFERENCES:
+    """Yields a problem for each reference to an undeclared name."""
+    for table, key, target, is_wildcard_allowed in _REFERENCES:
         entries = tree.get(table)
         if not isinstance(entries, dict):
             continue
         for name in sorted(entries):
             entry = entries[name]
             value = entry.get(key) if isinstance(entry, dict) else None
-            yield from _dangling(
-                tree, (table, name, key), value, target, any_allowed
+            yield from _dangling_in_value(
+                tree, (table, name, key), value, target, is_wildcard_allowed
             )
 
 
-def _dangling(
+def _dangling_in_value(
     tree: Tree,
     path: tables.Path,
     value: Any,
     target: str,
-    any_allowed: bool,
+    is_wildcard_allowed: bool,
 ) -> Iterator[tables.KeyProblem]:
     names = value if isinstance(value, list) else [value]
     declared = tree.get(target)
@@ -53,9 +53,9 @@
     for name in names:
         if not isinstance(name, str) or name in declared:
             continue
-        if any_allowed and name == data.WILDCARD:
+        if is_wildcard_allowed and name == data.WILDCARD:
             continue
-        if _is_adapter_of_callers(tree, path, name):
+        if _is_declared_adapter(tree, path, name):
             continue
         yield tables.KeyProblem(
             path,
@@ -65,7 +65,7 @@
         )
 
 
-def _is_adapter_of_callers(tree: Tree, path: tables.Path, name: str) -> bool:
+def _is_declared_adapter(tree: Tree, path: tables.Path, name: str) -> bool:
     adapters = tree.get("adapters")
     is_models = path[0] == "callers" and path[2] == "models"
     return is_models and isinstance(adapters, dict) and name in adapters
@@ -74,7 +74,11 @@
 def consistency_problems(
     declarations: data.Declarations,
 ) -> Iterator[tables.KeyProblem]:
-    """Yields an error where engines can't hold what must stay."""
+    """Yields a problem for each inconsistency between valid tables.
+
+    Checked are the memory of models against that of engines, unique names and
+    caller keys, and keys that depend on an upstream's kind.
+    """
     engines = declarations.engines()
     capacity = sum(engine.memory_mib for engine in engines)
     largest = max((engine.memory_mib for engine in engines), default=0)
@@ -113,9 +117,9 @@
             "give the adapter another name",
             errors.Kind.BAD_VALUE,
         )
-    seen: dict[str, str] = {}
+    first_caller: dict[str, str] = {}
     for caller in declarations.callers.values():
-        other = seen.setdefault(caller.key_digest, caller.name)
+        other = first_caller.setdefault(caller.key_digest, caller.name)
         if other != caller.name:
             yield tables.KeyProblem(
                 ("callers", caller.name, "key_digest"),
--- a/sesamecross/parser/declarations.py
+++ b/sesamecross/parser/declarations.py
@@ -1,7 +1,7 @@
-"""From a merged tree to checked declarations.
+"""Converts a merged tree into validated declarations.
 
-Why: the same pure function judges a folder at the operator's desk and a
-published change at every instance, so that all reach one verdict. It
+The same pure function validates a folder on the operator's machine and a
+published change on every instance, so that all reach the same verdict. It
 collects all errors and never raises.
 """
 
@@ -15,11 +15,10 @@
 
 Tree = dict[str, Any]
 
-# The format of declarations that this program understands, and so the
-# newest whose publishing it can judge.
+# The newest format of declarations that this version can parse and validate.
 FORMAT_MAX = 1
 
-_NAMED = {
+_NAMED_TABLES = {
     "regions": data.Region,
     "zones": data.Zone,
     "upstreams": data.Upstream,
@@ -29,7 +28,7 @@
     "services": data.Service,
     "callers": data.Caller,
 }
-_SINGLE = {
+_SINGLE_TABLES = {
     "store": data.WeightStore,
     "weights": data.PlacementWeights,
     "claims": data.ClaimLimits,
@@ -38,38 +37,38 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ParseResult:
-    """Declarations, or the errors that forbid them."""
+    """Declarations, or the errors in them."""
 
     declarations: data.Declarations | None
     errors: tuple[tables.KeyProblem, ...]
 
 
 def parse(tree: Tree) -> ParseResult:
-    """Checks a merged tree; the result is the same wherever it runs."""
-    found: list[tables.KeyProblem] = []
+    """Validates a merged tree; the result is the same on every instance."""
+    problems: list[tables.KeyProblem] = []
     values: dict[str, Any] = {}
     for key in tree:
-        if key not in _NAMED and key not in _SINGLE:
-            found.append(_unknown_table(key))
-    for key, cls in _NAMED.items():
-        values[key] = _named_tables(cls, tree.get(key, {}), key, found)
-    for key, cls in _SINGLE.items():
-        values[key] = tables.convert(cls, tree.get(key, {}), (key,), found)
-    if found:
-        # Cross checks on half-read tables would report a model as missing
-        # that is only misspelt inside; names are still checked.
-        found.extend(crosschecks.dangling_references(tree))
-        return ParseResult(None, tuple(found))
+        if key not in _NAMED_TABLES and key not in _SINGLE_TABLES:
+            problems.append(_unknown_table(key))
+    for key, cls in _NAMED_TABLES.items():
+        values[key] = _named_tables(cls, tree.get(key, {}), key, problems)
+    for key, cls in _SINGLE_TABLES.items():
+        values[key] = tables.convert(cls, tree.get(key, {}), (key,), problems)
+    if problems:
+        # On partly converted tables, consistency checks would report a model
+        # with an invalid key as missing. References can still be checked.
+        problems.extend(crosschecks.dangling_references(tree))
+        return ParseResult(None, tuple(problems))
     declarations = data.Declarations(**values)
-    found.extend(crosschecks.dangling_references(tree))
-    found.extend(crosschecks.consistency_problems(declarations))
-    if found:
-        return ParseResult(None, tuple(found))
+    problems.extend(crosschecks.dangling_references(tree))
+    problems.extend(crosschecks.consistency_problems(declarations))
+    if problems:
+        return ParseResult(None, tuple(problems))
     return ParseResult(declarations, ())
 
 
 def _unknown_table(key: str) -> tables.KeyProblem:
-    known = [*_NAMED, *_SINGLE]
+    known = [*_NAMED_TABLES, *_SINGLE_TABLES]
     return tables.KeyProblem(
         (key,),
         "is not a known table",
@@ -79,10 +78,10 @@
 
 
 def _named_tables(
-    cls: type, table: Any, key: str, found: list[tables.KeyProblem]
+    cls: type, table: Any, key: str, problems: list[tables.KeyProblem]
 ) -> dict[str, Any]:
     if not isinstance(table, dict):
-        found.append(
+        problems.append(
             tables.KeyProblem(
                 (key,),
                 "is not a table of tables",
@@ -93,7 +92,9 @@
         return {}
     result = {}
     for name in sorted(table):
-        record = tables.convert(cls, table[name], (key, name), found, name=name)
+        record = tables.convert(
+            cls, table[name], (key, name), problems, name=name
+        )
         if record is not None:
             result[name] = record
     return result
--- a/sesamecross/parser/folder.py
+++ b/sesamecross/parser/folder.py
@@ -1,4 +1,4 @@
-"""Checks a folder as a whole: files, tables and names, all errors at once."""
+"""Validates a folder of declarations and reports all errors at once."""
 
 import dataclasses
 import pathlib
@@ -12,9 +12,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CheckedFolder:
-    """A folder's merged tree, its declarations and every problem.
+    """A folder's merged tree, its declarations and all problems.
 
-    `declarations` is None exactly where `problems` is not empty.
+    `declarations` is None if and only if there are problems.
     """
 
     merged: toml_files.MergedFolder
@@ -23,12 +23,12 @@
 
 
 def check(path: pathlib.Path) -> CheckedFolder:
-    """Reads, merges and checks the folder at `path`."""
+    """Reads, merges and validates the folder at `path`."""
     merged = toml_files.read_folder(path)
     parsed = declarations.parse(merged.tree)
     problems = list(merged.problems)
-    # With an unreadable file, names that it would have declared dangle;
-    # the syntax error is the cause and the others would only hide it.
+    # References to names declared in an unreadable file are dangling too;
+    # reporting them would only hide the cause.
     if not merged.problems:
         problems.extend(as_problem(merged, e) for e in parsed.errors)
     problems.sort()
@@ -40,7 +40,7 @@
 def as_problem(
     merged: toml_files.MergedFolder, error: tables.KeyProblem
 ) -> errors.Problem:
-    """Returns a key's problem with the file that set the key."""
+    """Returns a key's problem together with the file that set the key."""
     return errors.Problem(
         merged.file_of(error.path),
         ".".join(error.path),
--- a/sesamecross/parser/folder_test.py
+++ b/sesamecross/parser/folder_test.py
@@ -1,4 +1,4 @@
-"""Tests of checking a folder: all errors at once, each with its remedy."""
+"""Tests of folder validation: all errors at once, each with a remedy."""
 
 import pathlib
 
@@ -9,7 +9,7 @@
 
 EXAMPLES = pathlib.Path(__file__).parents[2] / "examples"
 
-GOOD = {
+VALID_FILES = {
     "10.toml": """
 [regions.west]
 [zones.west-1]
@@ -27,31 +27,31 @@
 }
 
 
-def write(tmp_path, files):
+def write_and_check(tmp_path, files):
     for name, text in files.items():
         (tmp_path / name).write_text(text)
     return folder.check(tmp_path)
 
 
-def test_a_good_folder_has_declarations(tmp_path):
-    checked = write(tmp_path, GOOD)
+def test_a_valid_folder_has_declarations(tmp_path):
+    checked = write_and_check(tmp_path, VALID_FILES)
     assert checked.problems == ()
     assert checked.declarations.models["m1"].memory_mib == 400
 
 
 @pytest.mark.parametrize("name", ["namib", "sli-bhan"])
-def test_examples_are_good(name):
+def test_examples_are_valid(name):
     checked = folder.check(EXAMPLES / name)
     assert checked.problems == ()
 
 
-SIZES = [("namib", 6, 3, 20, 65), ("sli-bhan", 5, 3, 13, 55)]
+EXAMPLE_SIZES = [("namib", 6, 3, 20, 65), ("sli-bhan", 5, 3, 13, 55)]
 
 
 @pytest.mark.parametrize(
-    ("name", "engines", "services", "models", "adapters"), SIZES
+    ("name", "engines", "services", "models", "adapters"), EXAMPLE_SIZES
 )
-def test_examples_have_the_sizes_of_today(
+def test_examples_have_the_expected_sizes(
     name, engines, services, models, adapters
 ):
     declared = folder.check(EXAMPLES / name).declarations
@@ -64,7 +64,7 @@
 
 def test_later_file_overrides_and_origin_is_kept(tmp_path):
     later = {"20.toml": "[models.m1]\nmemory_mib = 500\n"}
-    checked = write(tmp_path, GOOD | later)
+    checked = write_and_check(tmp_path, VALID_FILES | later)
     assert checked.declarations.models["m1"].memory_mib == 500
     origins = checked.merged.origins[("models", "m1", "memory_mib")]
     assert [(o.file, o.value) for o in origins] == [
@@ -106,8 +106,8 @@
 
 
 @pytest.mark.parametrize(("text", "key", "reason", "remedy", "kind"), MISTAKES)
-def test_each_mistake_is_named(tmp_path, text, key, reason, remedy, kind):
-    checked = write(tmp_path, GOOD | {"20.toml": text})
+def test_each_mistake_is_reported(tmp_path, text, key, reason, remedy, kind):
+    checked = write_and_check(tmp_path, VALID_FILES | {"20.toml": text})
     assert checked.declarations is None
     found = [p for p in checked.problems if p.kind is kind and p.key == key]
     assert found, [str(p) for p in checked.problems]
@@ -117,14 +117,15 @@
         assert found[0].file == "20.toml"
 
 
-def test_all_errors_of_all_files_come_at_once(tmp_path):
-    # C7: an operator's folder has mistakes in two files. Naming only the
-    # first would cost a round for each; all are named, nothing is changed.
-    files = GOOD | {
+def test_all_errors_of_all_files_are_reported_at_once(tmp_path):
+    # C7: an operator's folder has mistakes in two files. Reporting only the
+    # first would cost one attempt for each; all are reported and nothing is
+    # changed.
+    files = VALID_FILES | {
         "20.toml": "[models.m1]\nmemry_mib = 1\n[zones.z2]\nregion = 'no'\n",
         "30.toml": "[store]\nloads_per_second = 'fast'\n",
     }
-    checked = write(tmp_path, files)
+    checked = write_and_check(tmp_path, files)
     keys = {(p.file, p.key) for p in checked.problems}
     assert keys >= {
         ("20.toml", "models.m1.memry_mib"),
@@ -135,5 +136,5 @@
 
 @pytest.mark.parametrize("files", [{}, {"x.txt": ""}])
 def test_a_folder_without_toml_is_a_problem(tmp_path, files):
-    checked = write(tmp_path, files)
+    checked = write_and_check(tmp_path, files)
     assert checked.problems[0].kind is errors.Kind.UNREADABLE
--- a/sesamecross/parser/settings.py
+++ b/sesamecross/parser/settings.py
@@ -1,9 +1,9 @@
-"""A process's own settings: where it stands and whom it talks to.
+"""Settings of a process: its location, addresses and limits.
 
-Why: a process learns its addresses and availability zone from settings and
-from nothing else. The order, later ones winning: the defaults of the record,
-the TOML file named by `--settings`, the environment (`SESAMECROSS_` and the
-key in capitals), the flags.
+Settings are the only source of a process's addresses and availability zone.
+Sources in increasing order of precedence: the defaults of the dataclass, the
+TOML file given by `--settings`, environment variables (`SESAMECROSS_` and the
+key in capitals), flags.
 """
 
 import argparse
@@ -35,13 +35,13 @@
     """Settings of an entry process.
 
     Attributes:
-      listen: Where callers' connections are accepted.
+      listen: Address that accepts callers' connections.
       steward: Address of the steward on the same instance.
-      policy: "estimated"; "least-outstanding" and "round-robin" are the
-        baselines of experiments, without limits and queue.
-      balancer_lag_ms: How long the balancer may go on sending new calls
-        after readiness fails.
-      drain_ms: The longest that a planned stop waits for open calls.
+      policy: "estimated"; "least-outstanding" and "round-robin" are baselines
+        for experiments, without limits and queue.
+      balancer_lag_ms: How long the load balancer may keep sending new calls
+        after the readiness check fails.
+      drain_ms: The longest time that a planned stop waits for open calls.
     """
 
     instance: str
@@ -72,12 +72,13 @@
     """Settings of a steward process.
 
     Attributes:
-      listen: Where streams from the entry, peers and operators arrive.
-      advertise: Where others reach that port, if not at `listen` itself.
-      metrics_listen: Where metrics and health are served over HTTP.
-      instances_url: The platform's list of instances; a hint that lags.
-      snapshot_records: Log records after which a snapshot is appended;
-        well below what the log retains.
+      listen: Address for streams from the entry, peers and operators.
+      advertise: Address under which others reach that port, if not `listen`.
+      metrics_listen: Address that serves metrics and health over HTTP.
+      instances_url: The platform's list of instances; a hint that may be
+        stale.
+      snapshot_records: Number of log records after which a snapshot is
+        appended; well below the log's retention.
     """
 
     instance: str
@@ -111,40 +112,40 @@
 def load(
     cls: type, flags: argparse.Namespace, environment: Mapping[str, str]
 ) -> Result[Any, list[errors.Problem]]:
-    """Returns the settings in force, or every problem with them."""
+    """Returns the effective settings, or all problems with them."""
     table: dict[str, Any] = {}
-    origin: dict[str, str] = {}
+    sources: dict[str, str] = {}
     if flags.settings:
         tree = toml_files.read_file(pathlib.Path(flags.settings))
         if isinstance(tree, errors.Problem):
             return Failure([tree])
         table.update(tree)
-        origin.update(dict.fromkeys(tree, flags.settings))
+        sources.update(dict.fromkeys(tree, flags.settings))
     for field in dataclasses.fields(cls):
         name = ENVIRONMENT_PREFIX + field.name.upper()
         if name in environment:
-            table[field.name] = _typed(environment[name])
-            origin[field.name] = f"environment {name}"
+            table[field.name] = _parse_value(environment[name])
+            sources[field.name] = f"environment {name}"
         if getattr(flags, field.name, None) is not None:
-            table[field.name] = _typed(getattr(flags, field.name))
-            origin[field.name] = f"flag --{field.name.replace('_', '-')}"
-    found: list[tables.KeyProblem] = []
-    settings = tables.convert(cls, table, (), found)
-    if found:
+            table[field.name] = _parse_value(getattr(flags, field.name))
+            sources[field.name] = f"flag --{field.name.replace('_', '-')}"
+    problems: list[tables.KeyProblem] = []
+    settings = tables.convert(cls, table, (), problems)
+    if problems:
         default = flags.settings or "settings"
-        return Failure([_as_problem(e, origin, default) for e in found])
+        return Failure([_as_problem(e, sources, default) for e in problems])
     return Success(settings)
 
 
-def _typed(text: str) -> Any:
+def _parse_value(text: str) -> Any:
     return int(text) if text.isdecimal() else text
 
 
 def _as_problem(
-    error: tables.KeyProblem, origin: dict[str, str], default: str
+    error: tables.KeyProblem, sources: dict[str, str], default: str
 ) -> errors.Problem:
     return errors.Problem(
-        origin.get(error.path[0], default),
+        sources.get(error.path[0], default),
         ".".join(error.path),
         error.reason,
         error.remedy,
--- a/sesamecross/parser/settings_test.py
+++ b/sesamecross/parser/settings_test.py
@@ -1,4 +1,4 @@
-"""Tests of a process's own settings and their documented order."""
+"""Tests of a process's settings and their order of precedence."""
 
 import argparse
 
@@ -8,7 +8,7 @@
 from sesamecross.core import errors
 from sesamecross.parser import settings
 
-BASE = """
+VALID = """
 instance = "e1"
 zone = "z1"
 region = "r1"
@@ -27,7 +27,7 @@
     return settings.load(settings.EntrySettings, flags, environment or {})
 
 
-ORDER = [
+SOURCES = [
     ("", [], {}, 128),
     ("threads = 10", [], {}, 10),
     ("threads = 10", [], {"SESAMECROSS_THREADS": "20"}, 20),
@@ -35,21 +35,23 @@
 ]
 
 
-@pytest.mark.parametrize(("line", "arguments", "environment", "threads"), ORDER)
+@pytest.mark.parametrize(
+    ("line", "arguments", "environment", "threads"), SOURCES
+)
 def test_order_of_sources(tmp_path, line, arguments, environment, threads):
-    loaded = load(tmp_path, BASE + line, arguments, environment)
+    loaded = load(tmp_path, VALID + line, arguments, environment)
     assert loaded.unwrap().threads == threads
 
 
 MISTAKES = [
-    (BASE + "thread = 3", [], "thread", errors.Kind.UNKNOWN_KEY, "entry.toml"),
-    (BASE.replace("z1", ""), ["--threads", "x"], "threads",
+    (VALID + "thread = 3", [], "thread", errors.Kind.UNKNOWN_KEY, "entry.toml"),
+    (VALID.replace("z1", ""), ["--threads", "x"], "threads",
      errors.Kind.BAD_VALUE, "flag --threads"),
-    (BASE.replace('zone = "z1"', ""), [], "zone", errors.Kind.MISSING_KEY,
+    (VALID.replace('zone = "z1"', ""), [], "zone", errors.Kind.MISSING_KEY,
      "entry.toml"),
-    (BASE.replace("0123456789abcdef", "short"), [], "shared_key",
+    (VALID.replace("0123456789abcdef", "short"), [], "shared_key",
      errors.Kind.BAD_VALUE, "entry.toml"),
-    (BASE.replace("127.0.0.1:1000", "host:1000"), [], "listen",
+    (VALID.replace("127.0.0.1:1000", "host:1000"), [], "listen",
      errors.Kind.BAD_VALUE, "entry.toml"),
 ]  # fmt: skip
 
@@ -69,16 +71,16 @@
     "content",
     [
         pytest.param(b"\xff\xfe\x00", id="no text"),
-        pytest.param('zone = "Slí'.encode()[:-1], id="half a character"),
-        pytest.param(b"a = " + b"[" * 100_000, id="nested deeply"),
+        pytest.param('zone = "Slí'.encode()[:-1], id="truncated character"),
+        pytest.param(b"a = " + b"[" * 100_000, id="deeply nested"),
         pytest.param(b"a = " + b"9" * 5_000, id="a number of 5000 digits"),
     ],
 )
-def test_what_is_no_text_is_a_problem_and_no_crash(tmp_path, content):
-    """A process ended with a traceback in place of a message.
+def test_a_damaged_file_is_a_problem_and_not_a_crash(tmp_path, content):
+    """Guards against a traceback in place of an error message.
 
-    Its file was damaged in a way that the parser of TOML does not call an
-    error of the syntax: nested too deeply, or a number too long to convert.
+    The TOML parser raises other exceptions than syntax errors for some damaged
+    files: tables nested too deeply, or a number too long to convert.
     """
     path = tmp_path / "entry.toml"
     path.write_bytes(content)
--- a/sesamecross/parser/tables.py
+++ b/sesamecross/parser/tables.py
@@ -1,8 +1,8 @@
-"""Checks plain tables against record classes and reports every error.
+"""Converts plain tables to dataclasses and reports every error.
 
-Why: a library call that stops at the first error makes an operator publish
-ten times to find ten mistakes. Each key is converted by itself with
-`msgspec`, so that all keys of all tables are judged in one pass.
+A converter that stops at the first error makes an operator publish ten times
+to find ten mistakes. Each key is therefore converted separately with
+`msgspec`, so that one pass reports the errors of all keys of all tables.
 """
 
 import dataclasses
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyProblem:
-    """An error at a path of keys, before the file is looked up."""
+    """An error at a path of keys, not yet attributed to a file."""
 
     path: Path
     reason: str
@@ -29,11 +29,11 @@
 
 
 @functools.cache
-def _hints(cls: type) -> dict[str, Any]:
+def _type_hints(cls: type) -> dict[str, Any]:
     return typing.get_type_hints(cls, include_extras=True)
 
 
-def _required(cls: type) -> list[str]:
+def _required_fields(cls: type) -> list[str]:
     return [
         field.name
         for field in dataclasses.fields(cls)
@@ -46,20 +46,20 @@
     cls: type,
     table: Any,
     path: Path,
-    found: list[KeyProblem],
-    **given: Any,
+    problems: list[KeyProblem],
+    **preset: Any,
 ) -> Any | None:
-    """Returns `table` as a `cls`, or None after adding errors to `found`.
+    """Returns `table` as a `cls`, or None after adding errors to `problems`.
 
     Args:
       cls: A dataclass whose annotations carry the constraints.
-      table: What the file holds.
-      path: Where the table stands, for errors.
-      found: Collects an error for each key at fault.
-      **given: Fields that don't come from the table, such as its name.
+      table: The parsed value from the file.
+      path: The table's path of keys, for errors.
+      problems: Collects an error for each invalid key.
+      **preset: Fields that are not keys of the table, such as its name.
     """
     if not isinstance(table, dict):
-        found.append(
+        problems.append(
             KeyProblem(
                 path,
                 f"is {_type_name(table)} and not a table",
@@ -68,21 +68,21 @@
             )
         )
         return None
-    before = len(found)
-    values = dict(given)
+    before = len(problems)
+    values = dict(preset)
     for key, value in table.items():
-        _convert_key(cls, key, value, (*path, key), found, values, given)
-    for name in _required(cls):
+        _convert_key(cls, key, value, (*path, key), problems, values, preset)
+    for name in _required_fields(cls):
         if name not in values and name not in table:
-            found.append(
+            problems.append(
                 KeyProblem(
                     (*path, name),
                     "is missing",
-                    f"add {name} = {_example(_hints(cls)[name])}",
+                    f"add {name} = {_example(_type_hints(cls)[name])}",
                     errors.Kind.MISSING_KEY,
                 )
             )
-    if len(found) > before:
+    if len(problems) > before:
         return None
     return cls(**values)
 
@@ -92,14 +92,14 @@
     key: str,
     value: Any,
     path: Path,
-    found: list[KeyProblem],
+    problems: list[KeyProblem],
     values: dict[str, Any],
-    given: dict[str, Any],
+    preset: dict[str, Any],
 ) -> None:
-    hints = _hints(cls)
-    if key not in hints or key in given:
-        known = [name for name in hints if name not in given]
-        found.append(
+    type_hints = _type_hints(cls)
+    if key not in type_hints or key in preset:
+        known = [name for name in type_hints if name not in preset]
+        problems.append(
             KeyProblem(
                 path,
                 "is not a known key",
@@ -109,13 +109,13 @@
         )
         return
     try:
-        values[key] = msgspec.convert(value, hints[key])
+        values[key] = msgspec.convert(value, type_hints[key])
     except msgspec.ValidationError as error:
-        found.append(
+        problems.append(
             KeyProblem(
                 path,
                 f"has a wrong value ({error})",
-                f"write {_example(hints[key])}{_unit_of(key)}",
+                f"write {_example(type_hints[key])}{_unit_of(key)}",
                 errors.Kind.BAD_VALUE,
             )
         )
@@ -138,24 +138,24 @@
 
 
 def suggest(key: str, known: list[str]) -> str:
-    """Returns a remedy for a key that is not among those known."""
-    # A key written without its unit is close to the one with it.
+    """Returns a remedy for an unknown key."""
+    # Prefers a key that only lacks its unit suffix.
     with_unit = [name for name in known if name.startswith(key + "_")]
-    near = with_unit or difflib.get_close_matches(key, known, n=1)
-    if near:
-        return f"did you mean {near[0]}?"
+    similar = with_unit or difflib.get_close_matches(key, known, n=1)
+    if similar:
+        return f"did you mean {similar[0]}?"
     return "remove it, or use one of: " + ", ".join(known)
 
 
-def _example(hint: Any) -> str:
-    if typing.get_origin(hint) is typing.Annotated:
-        hint = typing.get_args(hint)[0]
-    if hint in _EXAMPLES:
-        return _EXAMPLES[hint]
-    if typing.get_origin(hint) is tuple:
+def _example(type_hint: Any) -> str:
+    if typing.get_origin(type_hint) is typing.Annotated:
+        type_hint = typing.get_args(type_hint)[0]
+    if type_hint in _EXAMPLES:
+        return _EXAMPLES[type_hint]
+    if typing.get_origin(type_hint) is tuple:
         return 'a list such as ["name"]'
-    if isinstance(hint, type) and hasattr(hint, "__members__"):
-        return " or ".join(f'"{member.value}"' for member in hint)
+    if isinstance(type_hint, type) and hasattr(type_hint, "__members__"):
+        return " or ".join(f'"{member.value}"' for member in type_hint)
     return "a table"
 
 
--- a/sesamecross/parser/toml_files.py
+++ b/sesamecross/parser/toml_files.py
@@ -1,8 +1,8 @@
-"""Reads a folder of TOML files and merges them in the order of names.
+"""Reads a folder of TOML files and merges them in order of their names.
 
-Why: one team adds or overrides a setting without touching another team's
-file, so the merged tree must remember, for each key, which file set it and
-which earlier files it overrode.
+One team can add or override a setting without editing another team's file, so
+the merged tree records for each key which file set it and which earlier files
+it overrode.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Setting:
-    """One value that a file gives to a key."""
+    """A value that a file assigns to a key."""
 
     file: str
     value: Any
@@ -26,11 +26,11 @@
 
 @dataclasses.dataclass(slots=True)
 class MergedFolder:
-    """A folder's merged tree and where each value came from.
+    """A folder's merged tree and the origin of each value.
 
     Attributes:
-      origins: For each path of keys, all files that set it, the one in
-        force last.
+      origins: For each path of keys, all files that set it; the effective one
+        is the last.
     """
 
     tree: Tree
@@ -38,7 +38,7 @@
     problems: list[errors.Problem]
 
     def file_of(self, path: tuple[str, ...]) -> str:
-        """Returns the file that set `path`, or the nearest parent's."""
+        """Returns the file that set `path` or its nearest parent."""
         while path and path not in self.origins:
             path = path[:-1]
         if not path:
@@ -107,8 +107,8 @@
     try:
         return tomllib.loads(data.decode("utf-8"))
     except (ValueError, RecursionError) as error:
-        # Beside errors of the syntax: half of a character, a number of
-        # thousands of digits, tables nested deeply.
+        # Besides syntax errors: a truncated UTF-8 character, a number of
+        # thousands of digits, deeply nested tables.
         return errors.Problem(
             path.name,
             "",
@@ -120,7 +120,7 @@
 
 def _merge(
     merged: MergedFolder,
-    into: Tree,
+    target: Tree,
     tree: Tree,
     file: str,
     prefix: tuple[str, ...],
@@ -128,10 +128,10 @@
     for key, value in tree.items():
         path = (*prefix, key)
         if isinstance(value, dict):
-            if not isinstance(into.get(key), dict):
-                into[key] = {}
+            if not isinstance(target.get(key), dict):
+                target[key] = {}
             merged.origins.setdefault(path, []).append(Setting(file, {}))
-            _merge(merged, into[key], value, file, path)
+            _merge(merged, target[key], value, file, path)
         else:
-            into[key] = value
+            target[key] = value
             merged.origins.setdefault(path, []).append(Setting(file, value))
