--- a/sesamecross/operators/__init__.py
+++ b/sesamecross/operators/__init__.py
@@ -1,1 +1,1 @@
-"""Library behind the operators' command line."""
+"""Implementation of the operators' command line."""
--- a/sesamecross/operators/command_line.py
+++ b/sesamecross/operators/command_line.py
@@ -1,4 +1,4 @@
-"""The operators' command line: arguments in, outcome printed, exit code out."""
+"""The operators' command line: parses arguments and prints the outcome."""
 
 import argparse
 from collections.abc import Mapping
@@ -59,12 +59,12 @@
         help=f"file with the key of the streams; else ${KEY_VARIABLE}",
     )
     commands = parser.add_subparsers(dest="command", required=True)
-    _add_configuration(commands, common, online)
-    _add_watching(commands, common, online)
+    _add_configuration_commands(commands, common, online)
+    _add_monitoring_commands(commands, common, online)
     return parser
 
 
-def _add_configuration(commands, common, online) -> None:
+def _add_configuration_commands(commands, common, online) -> None:
     check = commands.add_parser(
         "check", parents=[common], help="report every error of a folder"
     )
@@ -111,35 +111,39 @@
     key_digest.set_defaults(folder=None)
 
 
-def _add_watching(commands, common, online) -> None:
+def _add_monitoring_commands(commands, common, online) -> None:
     status = commands.add_parser(
         "status", parents=[common, online], help="show the deployment"
     )
     status.add_argument(
         "--watch", action="store_true", help="refresh until interrupted"
     )
-    line = commands.add_parser(
+    timeline_command = commands.add_parser(
         "timeline", parents=[common, online], help="show events in order"
     )
-    line.add_argument("--call", default="", help="only one call's story")
-    line.add_argument("--model", default="")
-    line.add_argument("--upstream", default="")
-    line.add_argument("--zone", default="")
-    line.add_argument("--kind", default="")
-    line.add_argument(
+    timeline_command.add_argument(
+        "--call", default="", help="only one call's story"
+    )
+    timeline_command.add_argument("--model", default="")
+    timeline_command.add_argument("--upstream", default="")
+    timeline_command.add_argument("--zone", default="")
+    timeline_command.add_argument("--kind", default="")
+    timeline_command.add_argument(
         "--last-s", type=float, default=0.0, help="only the last seconds"
     )
-    line.add_argument("--limit", type=int, default=2000)
-    line.add_argument(
+    timeline_command.add_argument("--limit", type=int, default=2000)
+    timeline_command.add_argument(
         "--format", choices=("text", "jsonl", "trace", "html"), default="text"
     )
-    line.add_argument("--output", type=pathlib.Path, help="file to write")
-    lost = commands.add_parser(
+    timeline_command.add_argument(
+        "--output", type=pathlib.Path, help="file to write"
+    )
+    losses_command = commands.add_parser(
         "losses",
         parents=[common],
         help="say from gateways' logs why requests were lost or held",
     )
-    lost.add_argument("logs", nargs="+", type=pathlib.Path)
+    losses_command.add_argument("logs", nargs="+", type=pathlib.Path)
     drain = commands.add_parser(
         "drain", parents=[common, online], help="drain an upstream"
     )
@@ -155,7 +159,7 @@
 
 
 class CommandLine:
-    """One run of the command."""
+    """One invocation of the command."""
 
     def __init__(
         self,
@@ -172,14 +176,14 @@
             outcomes.failed(outcomes.ExitCode.PROBLEMS, [_NOTHING_CHANGED])
         )
         self._as_json = False
-        # An interruption is raised only where `run` answers it.
+        # An interruption is raised only while `run` can handle it.
         self._is_running = False
         self._is_interrupted = False
 
     def run(self, arguments: Sequence[str]) -> int:
         """Returns the exit code."""
         try:
-            self._begin()
+            self._start_running()
             flags = build_parser().parse_args(arguments)
             self._as_json = flags.json
             outcome = self._outcome(flags)
@@ -187,22 +191,22 @@
             self._print(outcome)
             self._is_running = False
         except KeyboardInterrupt:
-            # What was found out counts, not that it was interrupted.
+            # Prints what is known so far, instead of a generic error.
             self._print(self._interrupted.outcome)
         return self._interrupted.outcome.code
 
     def interrupt(self, _number: int, _frame: object) -> None:
-        """Makes a signal an interruption, once: the answer to it is told."""
+        """Signal handler that interrupts `run` once; ignores later signals."""
         if self._is_interrupted:
             return
         self._is_interrupted = True
         if self._is_running:
             raise KeyboardInterrupt
 
-    def _begin(self) -> None:
+    def _start_running(self) -> None:
         self._is_running = True
         if self._is_interrupted:
-            # The signal came before there was anybody to answer it.
+            # The signal arrived before `run` could handle it.
             raise KeyboardInterrupt
 
     def _outcome(self, flags: argparse.Namespace) -> outcomes.Outcome:
@@ -218,10 +222,10 @@
             self._write(outcome)
             self._stdout.flush()
         except OSError:
-            # Nobody reads any more, and there is no other place to say so.
-            # The exit code is what is left to tell.
-            _drop(self._stdout)
-            _drop(self._stderr)
+            # The reader is gone, and there is nowhere else to report it. Only
+            # the exit code remains.
+            _redirect_to_null(self._stdout)
+            _redirect_to_null(self._stderr)
 
     def _write(self, outcome: outcomes.Outcome) -> None:
         if self._as_json:
@@ -237,7 +241,7 @@
         for line in outcome.lines:
             print(line, file=self._stdout)
 
-    def _say(self, line: str) -> None:
+    def _report_progress(self, line: str) -> None:
         print(line, file=self._stderr, flush=True)
 
     def _dispatch(self, flags: argparse.Namespace) -> outcomes.Outcome:
@@ -257,7 +261,7 @@
                     flags.base,
                     flags.change_id,
                     self._fleet(flags) if flags.wait else None,
-                    self._say,
+                    self._report_progress,
                     self._interrupted,
                 )
             case "rollback":
@@ -266,7 +270,7 @@
                     self._log_url(flags),
                     flags.author,
                     self._fleet(flags) if flags.wait else None,
-                    self._say,
+                    self._report_progress,
                     self._interrupted,
                 )
             case "key-digest":
@@ -283,7 +287,7 @@
                 return self._claims(flags)
         raise AssertionError(flags.command)
 
-    # -- where to ask ----------------------------------------------------
+    # -- endpoints -------------------------------------------------------
 
     def _log_url(self, flags: argparse.Namespace) -> str:
         url = flags.log or self._environment.get(LOG_VARIABLE)
@@ -329,7 +333,7 @@
     def _status(self, flags: argparse.Namespace) -> outcomes.Outcome:
         fleet = self._fleet(flags)
         if flags.watch:
-            # That is how a watch ends.
+            # An interruption is the normal end of a watch.
             self._interrupted.outcome = outcomes.Outcome(
                 outcomes.ExitCode.OK, {}, ()
             )
@@ -338,7 +342,9 @@
             print(CLEAR_SCREEN + "\n".join(text), file=self._stdout, flush=True)
             time.sleep(WATCH_INTERVAL_S)
         document = status_text.document(fleet.statuses())
-        states = {one["state"] for one in document["instances"].values()}
+        states = {
+            instance["state"] for instance in document["instances"].values()
+        }
         code = (
             outcomes.ExitCode.OK
             if states <= {"ok"}
@@ -356,7 +362,7 @@
         if flags.last_s:
             newest = max((event.wall_ms for event in events), default=0)
             since_ms = int(newest - flags.last_s * 1000)
-        chosen = timeline.Filter(
+        event_filter = timeline.Filter(
             flags.call,
             flags.model,
             flags.upstream,
@@ -364,7 +370,7 @@
             flags.kind,
             since_ms,
         )
-        merged = timeline.merge([events], chosen)
+        merged = timeline.merge([events], event_filter)
         lines = _timeline_lines(flags.format, merged, missing)
         document = {
             "events": [
@@ -393,7 +399,7 @@
         self, log: log_state.LogState, record: object, line: str
     ) -> outcomes.Outcome:
         self._interrupted.outcome = outcomes.failed(
-            outcomes.ExitCode.NOT_KNOWN_YET, [_MAYBE]
+            outcomes.ExitCode.NOT_KNOWN_YET, [_OUTCOME_UNKNOWN]
         )
         appended = log.append(record)
         if isinstance(appended, Failure):
@@ -440,14 +446,14 @@
         marked = records.DrainMarked(
             flags.upstream, not flags.end, flags.author
         )
-        what = "ends its drain" if flags.end else "drains"
+        verb = "ends its drain" if flags.end else "drains"
         return self._append(
-            log, marked, f"{flags.upstream} {what}; open calls finish"
+            log, marked, f"{flags.upstream} {verb}; open calls finish"
         )
 
 
-# A change that is made twice by these commands is the same as made once.
-_MAYBE = errors.Problem(
+# The changes of these commands are idempotent.
+_OUTCOME_UNKNOWN = errors.Problem(
     "command line",
     "",
     "interrupted, the change may have been taken in",
@@ -489,15 +495,15 @@
     return timeline_formats.as_text(events)
 
 
-def _drop(stream: TextIO) -> None:
-    """Lets what is still to be written go nowhere."""
-    nowhere = os.open(os.devnull, os.O_WRONLY)
-    os.dup2(nowhere, stream.fileno())
-    os.close(nowhere)
+def _redirect_to_null(stream: TextIO) -> None:
+    """Redirects a stream to the null device, so that its flush can't fail."""
+    null_fd = os.open(os.devnull, os.O_WRONLY)
+    os.dup2(null_fd, stream.fileno())
+    os.close(null_fd)
 
 
 def main(environment: Mapping[str, str]) -> int:
-    """Runs the command on the process's own streams."""
+    """Runs the command with the process's standard streams."""
     command = CommandLine(environment, sys.stdin, sys.stdout, sys.stderr)
     signals.install_cli_handler(command.interrupt)
     return command.run(sys.argv[1:])
--- a/sesamecross/operators/configuration.py
+++ b/sesamecross/operators/configuration.py
@@ -1,4 +1,4 @@
-"""check, diff, publish, explain and rollback."""
+"""The commands check, diff, publish, explain and rollback."""
 
 from collections.abc import Callable
 import json
@@ -114,10 +114,10 @@
     path = tuple(key.split("."))
     settings = checked.merged.origins.get(path)
     if not settings:
-        near = [k for k in flatten(checked.merged.tree) if key in k][:5]
+        similar = [k for k in flatten(checked.merged.tree) if key in k][:5]
         remedy = "see `check` for what is declared"
-        if near:
-            remedy = "did you mean " + " or ".join(near) + "?"
+        if similar:
+            remedy = "did you mean " + " or ".join(similar) + "?"
         problem = errors.Problem(str(folder), key, "is set by no file", remedy)
         return outcomes.failed(outcomes.ExitCode.PROBLEMS, [problem])
     value: Any = checked.merged.tree
@@ -146,22 +146,22 @@
     base: int | None,
     change_id: str | None,
     fleet: fleet_lib.Fleet | None,
-    say: ReportProgress,
+    report_progress: ReportProgress,
     interrupted: outcomes.InterruptOutcome,
 ) -> outcomes.Outcome:
-    """Publishes a folder; waits for the log's verdict.
+    """Publishes a folder and waits for the verdict on the log.
 
     Args:
-      folder: What to publish.
-      log_url: The platform's log.
-      author: Who publishes, for others to read.
-      note: Why, for others to read.
-      base: The version that the folder was made from; None for the one in
-        force now.
-      change_id: Given again when an earlier try's outcome is not known.
-      fleet: Where to watch the change come into force, or None.
-      say: Shows progress.
-      interrupted: Kept up to date with what is known of the change.
+      folder: The folder of declarations to publish.
+      log_url: URL of the platform's log.
+      author: The author, recorded for other operators.
+      note: The reason, recorded for other operators.
+      base: The version that the folder is based on; None for the current one.
+      change_id: The id of an earlier attempt whose outcome is unknown, or None.
+      fleet: The stewards to poll until the change is in force everywhere, or
+        None to return once it is accepted.
+      report_progress: Prints a progress message.
+      interrupted: Updated with what is known of the change so far.
     """
     checked = folder_lib.check(folder)
     if checked.declarations is None:
@@ -174,7 +174,7 @@
         base,
         change_id or uuid.uuid4().hex[:16],
         fleet,
-        say,
+        report_progress,
         interrupted,
     )
 
@@ -184,14 +184,14 @@
     log_url: str,
     author: str,
     fleet: fleet_lib.Fleet | None,
-    say: ReportProgress,
+    report_progress: ReportProgress,
     interrupted: outcomes.InterruptOutcome,
 ) -> outcomes.Outcome:
     """Publishes an older version's content as a new version."""
     log = log_state.LogState.read(log_url)
     tree = log.state.config.tree_at(version)
     if tree is None:
-        oldest = _oldest_kept(log.state.config)
+        oldest = _oldest_kept_version(log.state.config)
         problem = errors.Problem(
             log_url,
             "",
@@ -209,12 +209,12 @@
         None,
         uuid.uuid4().hex[:16],
         fleet,
-        say,
+        report_progress,
         interrupted,
     )
 
 
-def _oldest_kept(config: config_log.ConfigLog) -> int:
+def _oldest_kept_version(config: config_log.ConfigLog) -> int:
     history = config.state.history
     return history[0].version - 1 if history else config.state.version
 
@@ -227,14 +227,16 @@
     base: int | None,
     change_id: str,
     fleet: fleet_lib.Fleet | None,
-    say: ReportProgress,
+    report_progress: ReportProgress,
     interrupted: outcomes.InterruptOutcome,
 ) -> outcomes.Outcome:
     log = log_state.LogState.read(log_url)
-    # From here on the record may be on its way; the change id tells later.
+    # From here on the record may reach the log; the change id identifies it.
     not_known_yet = _not_known_yet(change_id, log_url)
     interrupted.outcome = not_known_yet
-    verdict = _verdict(log, tree, author, note, base, change_id, say)
+    verdict = _verdict(
+        log, tree, author, note, base, change_id, report_progress
+    )
     if verdict is None:
         return not_known_yet
     outcome = _verdict_outcome(verdict)
@@ -247,8 +249,10 @@
         outcome.document,
         (f"{line}; interrupted before it was seen in force everywhere",),
     )
-    say(line)
-    return _await_force(verdict.version, fleet, dict(outcome.document), say)
+    report_progress(line)
+    return _await_rollout(
+        verdict.version, fleet, dict(outcome.document), report_progress
+    )
 
 
 def _verdict(
@@ -258,9 +262,9 @@
     note: str,
     base: int | None,
     change_id: str,
-    say: ReportProgress,
+    report_progress: ReportProgress,
 ) -> config_log.Verdict | None:
-    """Appends a change, once, and waits for the log's verdict on it."""
+    """Appends a change unless the log has it, and waits for the verdict."""
     config = log.state.config
     if change_id not in config.state.verdicts:
         base_version = config.state.version if base is None else base
@@ -276,18 +280,20 @@
             digest.of_tree(tree),
             note,
         )
-        say(f"publishing change {change_id} from version {base_version}")
+        report_progress(
+            f"publishing change {change_id} from version {base_version}"
+        )
         appended = log.append(change)
         if isinstance(appended, Failure):
-            say(str(appended.failure()))
+            report_progress(str(appended.failure()))
     return _await_verdict(log, change_id)
 
 
 def _await_verdict(
     log: log_state.LogState, change_id: str
 ) -> config_log.Verdict | None:
-    until = time.monotonic() + VERDICT_TIMEOUT_S
-    while time.monotonic() < until:
+    deadline_s = time.monotonic() + VERDICT_TIMEOUT_S
+    while time.monotonic() < deadline_s:
         log.refresh()
         verdict = log.state.config.state.verdicts.get(change_id)
         if verdict is not None:
@@ -343,35 +349,40 @@
     return outcomes.Outcome(code, document, (), (problem,))
 
 
-def _await_force(
-    version: int, fleet: fleet_lib.Fleet, document: dict, say: ReportProgress
+def _await_rollout(
+    version: int,
+    fleet: fleet_lib.Fleet,
+    document: dict,
+    report_progress: ReportProgress,
 ) -> outcomes.Outcome:
-    """Waits until the version is in force at every instance."""
-    began = time.monotonic()
-    said: set[str] = set()
+    """Waits until the version is in force on every instance."""
+    started_s = time.monotonic()
+    reported: set[str] = set()
     while True:
         statuses = fleet.statuses()
         behind = []
         for instance, status in sorted(statuses.items()):
             if status is not None and status.entry_version >= version:
-                if instance not in said:
-                    said.add(instance)
-                    waited_s = time.monotonic() - began
-                    say(f"in force at {instance} after {waited_s:.1f} s")
+                if instance not in reported:
+                    reported.add(instance)
+                    waited_s = time.monotonic() - started_s
+                    report_progress(
+                        f"in force at {instance} after {waited_s:.1f} s"
+                    )
                 continue
-            behind.append(_behind(instance, status))
+            behind.append(_describe_lag(instance, status))
         if not behind:
-            document["seconds"] = round(time.monotonic() - began, 3)
-            line = f"version {version} is in force at {len(said)} instances"
+            document["seconds"] = round(time.monotonic() - started_s, 3)
+            line = f"version {version} is in force at {len(reported)} instances"
             return outcomes.Outcome(outcomes.ExitCode.OK, document, (line,))
-        if time.monotonic() - began > ROLLOUT_TIMEOUT_S:
+        if time.monotonic() - started_s > ROLLOUT_TIMEOUT_S:
             document["behind"] = behind
             lines = tuple(f"behind: {text}" for text in behind)
             return outcomes.Outcome(outcomes.ExitCode.PARTIAL, document, lines)
         time.sleep(ROLLOUT_POLL_S)
 
 
-def _behind(instance: str, status: Any) -> str:
+def _describe_lag(instance: str, status: Any) -> str:
     if status is None:
         return f"{instance} does not answer"
     if not status.entry_connected:
--- a/sesamecross/operators/fleet.py
+++ b/sesamecross/operators/fleet.py
@@ -1,8 +1,8 @@
-"""Asks all stewards at once: status and time line.
+"""Queries all stewards concurrently for their status and timeline.
 
-Why: members introduce themselves on the log, so the log tells whom to ask;
-while it is down, stewards named on the command line tell. One that does not
-answer is named as missing, never left out silently.
+Members register on the log, so the stewards' addresses are read from it; while
+the log is down, those given on the command line are used. A steward that does
+not answer is reported as missing, never omitted silently.
 """
 
 import asyncio
@@ -22,17 +22,19 @@
 MAX_CONCURRENT_REQUESTS = 50
 
 
-def _run(work: collections.abc.Coroutine) -> Any:
-    """Runs a coroutine to its end; a signal waits for that, `ANSWER_S` long.
+def _run_with_signals_blocked(coroutine: collections.abc.Coroutine) -> Any:
+    """Runs a coroutine with signals blocked, for up to `REPLY_TIMEOUT_S`.
 
-    One that interrupts an event loop while it is made, used or closed leaves
-    its parts to be destroyed with tracebacks.
+    A signal that interrupted the event loop while it is created, used or closed
+    would leave objects whose destruction prints tracebacks.
     """
-    before = signal.pthread_sigmask(signal.SIG_BLOCK, signals.CLI_STOP_SIGNALS)
+    previous_mask = signal.pthread_sigmask(
+        signal.SIG_BLOCK, signals.CLI_STOP_SIGNALS
+    )
     try:
-        return asyncio.run(work)
+        return asyncio.run(coroutine)
     finally:
-        signal.pthread_sigmask(signal.SIG_SETMASK, before)
+        signal.pthread_sigmask(signal.SIG_SETMASK, previous_mask)
 
 
 class Fleet:
@@ -49,7 +51,7 @@
     def from_log(
         cls, log_url: str, stewards: list[str], shared_key: str
     ) -> "Fleet":
-        """Returns the members that the log names, and those given."""
+        """Returns a fleet of the members on the log and the given stewards."""
         addresses = {address: address for address in stewards}
         log = log_state.LogState(log_url)
         log.refresh()
@@ -62,20 +64,20 @@
 
     @property
     def instances(self) -> list[str]:
-        """Names of the instances to ask, sorted."""
+        """Names of the instances to query, sorted."""
         return sorted(self._addresses)
 
     def statuses(self) -> dict[str, messages.StatusReply | None]:
-        """Returns each steward's status, None where it does not answer."""
-        return _run(
+        """Returns the status by instance, None if a steward does not answer."""
+        return _run_with_signals_blocked(
             self._ask_all(lambda: messages.StatusRequest(uuid.uuid4().hex))
         )
 
     def events(
         self, limit: int, call_id: str
     ) -> tuple[list[timeline.TimelineEvent], list[str]]:
-        """Returns all events that can be had, and who is missing."""
-        replies = _run(
+        """Returns all available events, and the names of missing sources."""
+        replies = _run_with_signals_blocked(
             self._ask_all(
                 lambda: messages.EventsRequest(uuid.uuid4().hex, limit, call_id)
             )
@@ -96,10 +98,10 @@
     async def _ask_all(
         self, request: collections.abc.Callable[[], object]
     ) -> dict[str, object]:
-        gate = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
         async def ask(address: str) -> object:
-            async with gate:
+            async with semaphore:
                 try:
                     return await asyncio.wait_for(
                         self._ask(address, request()), REPLY_TIMEOUT_S
--- a/sesamecross/operators/interruption_test.py
+++ b/sesamecross/operators/interruption_test.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' command when a signal interrupts it."""
+"""Tests of the operators' command when it is interrupted by a signal."""
 
 import io
 import os
@@ -15,13 +15,13 @@
 from sesamecross.operators import command_line
 
 EXAMPLE = pathlib.Path(__file__).parents[2] / "examples" / "namib"
-GUARD_S = 30
-NOTHING = "nothing was changed"
-AGAIN = "--change-id"
+TIMEOUT_S = 30
+NOTHING_CHANGED = "nothing was changed"
+RETRY_HINT = "--change-id"
 
 
-class Log(log_lib.LogServer):
-    """A log that holds requests back at one stage of a command."""
+class BlockingLog(log_lib.LogServer):
+    """A log that blocks requests at one stage of a command."""
 
     def __init__(self, stage):
         super().__init__("log", "127.0.0.1:0", 1000)
@@ -32,7 +32,7 @@
     def _hold(self, stage):
         if self.stage == stage:
             self.reached.set()
-            assert self.release.wait(GUARD_S)
+            assert self.release.wait(TIMEOUT_S)
 
     def _append(self, request):
         self._hold("append")
@@ -48,11 +48,11 @@
 
 @pytest.fixture
 def log():
-    one = Log("")
-    one.server.start()
-    yield one
-    one.release.set()
-    one.server.shut_down()
+    log_server = BlockingLog("")
+    log_server.server.start()
+    yield log_server
+    log_server.release.set()
+    log_server.server.shut_down()
 
 
 def environment(log):
@@ -62,12 +62,12 @@
     }
 
 
-def heed_hang_ups():
-    """Undoes what the test run itself may have inherited."""
+def reset_sighup():
+    """Resets SIGHUP, which the test run may have inherited as ignored."""
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
 
 
-def start(log, arguments, before=heed_hang_ups):
+def start(log, arguments, before=reset_sighup):
     command = [sys.executable, "-m", "sesamecross.scripts.operator_cli"]
     return subprocess.Popen(
         [*command, *arguments],
@@ -87,27 +87,27 @@
 @pytest.mark.parametrize(
     ("arguments", "stage", "name", "code", "text"),
     [
-        (PUBLISH, "read", "INT", 1, NOTHING),
-        (PUBLISH, "read", "TERM", 1, NOTHING),
-        (PUBLISH, "append", "INT", 4, AGAIN),
-        (PUBLISH, "append", "TERM", 4, AGAIN),
-        (PUBLISH, "append", "HUP", 4, AGAIN),
-        (PUBLISH, "verdict", "INT", 4, AGAIN),
-        (("rollback", "1"), "append", "HUP", 4, AGAIN),
-        (DRAIN, "read", "HUP", 1, NOTHING),
+        (PUBLISH, "read", "INT", 1, NOTHING_CHANGED),
+        (PUBLISH, "read", "TERM", 1, NOTHING_CHANGED),
+        (PUBLISH, "append", "INT", 4, RETRY_HINT),
+        (PUBLISH, "append", "TERM", 4, RETRY_HINT),
+        (PUBLISH, "append", "HUP", 4, RETRY_HINT),
+        (PUBLISH, "verdict", "INT", 4, RETRY_HINT),
+        (("rollback", "1"), "append", "HUP", 4, RETRY_HINT),
+        (DRAIN, "read", "HUP", 1, NOTHING_CHANGED),
         (DRAIN, "append", "INT", 4, "may have been taken in"),
         (DRAIN, "append", "HUP", 4, "may have been taken in"),
     ],
 )
-def test_an_interrupted_change_says_what_is_known_of_it(
+def test_an_interrupted_change_reports_what_is_known_of_it(
     log, arguments, stage, name, code, text
 ):
-    """A script took a change for published that was not, and one for failed.
+    """Guards against a wrong exit code of an interrupted change.
 
-    An operator's interrupt ended `publish` with code 0, whatever had become
-    of the change; a closed terminal ended it without a word. Whether the
-    record had gone to the log was known to the command alone. Each signal is
-    an interruption now, and what is known at that stage is the answer.
+    An interrupt ended `publish` with code 0, whatever the fate of the change;
+    a closed terminal ended it without output. Scripts treated unpublished
+    changes as published, and the reverse. Only the command knows whether the
+    record was sent to the log; it now prints what is known at that stage.
     """
     here = command_line.CommandLine(
         environment(log), io.StringIO(), io.StringIO(), io.StringIO()
@@ -115,83 +115,85 @@
     assert here.run(PUBLISH) == 0
     log.stage = stage
     command = start(log, arguments)
-    assert log.reached.wait(GUARD_S)
+    assert log.reached.wait(TIMEOUT_S)
     command.send_signal(signal.Signals[f"SIG{name}"])
-    said, _ = command.communicate(timeout=GUARD_S)
-    assert "Traceback" not in said
-    assert (command.returncode, text in said) == (code, True)
+    output_text, _ = command.communicate(timeout=TIMEOUT_S)
+    assert "Traceback" not in output_text
+    assert (command.returncode, text in output_text) == (code, True)
 
 
 @pytest.mark.parametrize("name", ["INT", "TERM", "HUP"])
 def test_an_interrupted_wait_says_that_the_change_is_accepted(log, name):
-    """An operator stopped waiting, and a script took the change for lost.
+    """Guards against an accepted change that is reported as lost.
 
-    The change was accepted; only whether it was in force everywhere was not
-    known yet. A signal in the middle of the asking waits for its end.
+    An operator interrupted the wait until the change was in force everywhere,
+    and a script treated it as failed. A signal during a query is deferred until
+    the query ends.
     """
     with socket.create_server(("127.0.0.1", 0)) as silent:
         port = silent.getsockname()[1]
         steward = ("--wait", "--steward", f"127.0.0.1:{port}")
         command = start(log, (*PUBLISH, *steward))
-        said = ""
-        while "accepted as version 1" not in said:
+        output_text = ""
+        while "accepted as version 1" not in output_text:
             line = command.stdout.readline()
-            assert line, said
-            said += line
+            assert line, output_text
+            output_text += line
         command.send_signal(signal.Signals[f"SIG{name}"])
-        rest, _ = command.communicate(timeout=GUARD_S)
+        rest, _ = command.communicate(timeout=TIMEOUT_S)
     assert "Traceback" not in rest
     assert (command.returncode, "version 1" in rest) == (6, True)
 
 
-def test_an_interruption_whose_reader_is_gone_keeps_its_code(log):
-    """A closed terminal takes the command's output with it.
+def test_an_interruption_with_a_closed_output_keeps_its_exit_code(log):
+    """Guards against an exit code that a failed write changes.
 
-    The exit code is all that a script has then; a write that failed changed
-    it.
+    A closed terminal also closes the command's output; a script then has only
+    the exit code.
     """
     log.stage = "append"
     command = start(log, PUBLISH)
-    assert log.reached.wait(GUARD_S)
+    assert log.reached.wait(TIMEOUT_S)
     command.stdout.close()
     command.send_signal(signal.SIGHUP)
-    assert command.wait(GUARD_S) == 4
+    assert command.wait(TIMEOUT_S) == 4
 
 
-def ignore_hang_ups():
-    """Does what `nohup` does."""
+def ignore_sighup():
+    """Ignores SIGHUP, as `nohup` does."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
 def test_a_command_under_nohup_outlives_its_terminal(log):
-    """A publish that was to go on without its terminal was interrupted.
+    """Guards against an interruption of a command started with `nohup`.
 
-    An operator started it with `nohup` and closed the terminal. The command
-    took the signal back that `nohup` had set to be ignored, and ended with
-    the verdict unknown.
+    The command replaced the ignored SIGHUP with its own handler, and exited
+    with an unknown verdict when its terminal was closed.
     """
     log.stage = "append"
-    command = start(log, PUBLISH, ignore_hang_ups)
-    assert log.reached.wait(GUARD_S)
+    command = start(log, PUBLISH, ignore_sighup)
+    assert log.reached.wait(TIMEOUT_S)
     command.send_signal(signal.SIGHUP)
     log.release.set()
-    said, _ = command.communicate(timeout=GUARD_S)
-    assert (command.returncode, "accepted" in said) == (0, True), said
+    output_text, _ = command.communicate(timeout=TIMEOUT_S)
+    assert (command.returncode, "accepted" in output_text) == (0, True), (
+        output_text
+    )
 
 
 def records(log):
-    """Returns how many records the log has taken in."""
+    """Returns the number of records on the log."""
     return sum(len(kept) for kept in log._records.values())
 
 
-class Ages:
-    """Interrupts a command at its n-th line that was not reached before."""
+class InterruptAtLine:
+    """Trace function that interrupts a command at its n-th distinct line."""
 
     FOLDER = str(pathlib.Path(command_line.__file__).parent)
 
-    def __init__(self, interrupt, age):
+    def __init__(self, interrupt, nth_line):
         self.interrupt = interrupt
-        self.age = age
+        self.nth_line = nth_line
         self.reached = set()
 
     def __call__(self, frame, event, _argument):
@@ -204,7 +206,7 @@
     def _note(self, line):
         if line not in self.reached:
             self.reached.add(line)
-            if len(self.reached) == self.age:
+            if len(self.reached) == self.nth_line:
                 self.interrupt(signal.SIGTERM, None)
 
 
@@ -216,37 +218,39 @@
         (DRAIN, "drains"),
     ],
 )
-def test_an_interruption_at_any_line_gets_a_true_answer(log, arguments, done):
-    """Guards against a change that was taken in and is reported as not made."""
+def test_an_interruption_at_any_line_reports_a_correct_outcome(
+    log, arguments, done
+):
+    """Guards against an accepted change that is reported as not made."""
 
-    def run(words, age=0):
+    def run(words, nth_line=0):
         output = io.StringIO()
         command = command_line.CommandLine(
             environment(log), io.StringIO(), output, output
         )
-        ages = Ages(command.interrupt, age)
-        sys.settrace(ages if age else None)
+        tracer = InterruptAtLine(command.interrupt, nth_line)
+        sys.settrace(tracer if nth_line else None)
         try:
             code = command.run(words)
         finally:
             sys.settrace(None)
-        return code, output.getvalue(), ages
+        return code, output.getvalue(), tracer
 
     assert run(PUBLISH)[0] == 0
-    age = 0
+    nth_line = 0
     codes = set()
     while True:
-        age += 1
+        nth_line += 1
         before = records(log)
-        code, said, ages = run(arguments, age)
+        code, output_text, tracer = run(arguments, nth_line)
         codes.add(code)
         if records(log) > before:
-            assert code != 1, (age, said)
+            assert code != 1, (nth_line, output_text)
         if code in (0, 6):
-            assert done in said
+            assert done in output_text
         else:
             assert code in (1, 4)
-            assert (NOTHING in said) == (code == 1)
-        if len(ages.reached) < age:
+            assert (NOTHING_CHANGED in output_text) == (code == 1)
+        if len(tracer.reached) < nth_line:
             break
     assert codes >= {0, 1, 4}
--- a/sesamecross/operators/log_state.py
+++ b/sesamecross/operators/log_state.py
@@ -1,7 +1,7 @@
-"""Reads the shared state from the log, as any instance does.
+"""Reads the shared state by replaying the log, as any instance does.
 
-Why: what is accepted is decided by replay; the operators' command replays
-too, instead of asking some process for its opinion.
+Replay decides which changes are accepted; the operators' command replays the
+log itself instead of relying on the state of one process.
 """
 
 import time
@@ -23,7 +23,7 @@
 
 
 class LogState:
-    """A replica that is read when asked."""
+    """A replica of the shared state that is refreshed on request."""
 
     def __init__(self, url: str):
         self._log = log_http.HttpLog(url)
@@ -32,7 +32,7 @@
 
     @classmethod
     def read(cls, url: str) -> "LogState":
-        """Returns a replica at the log's end.
+        """Returns a replica that has read the log to its end.
 
         Raises:
           ProblemError: The log can't be read to its end.
@@ -49,7 +49,7 @@
         return self._replica.state
 
     def refresh(self) -> Result[None, errors.Problem]:
-        """Reads to the log's end."""
+        """Reads the log to its end."""
         while True:
             start = self._replica.read_offset
             result = self._log.read(start, wait_ms=0)
@@ -72,7 +72,7 @@
             )
 
     def append(self, record: object) -> Result[int, errors.Problem]:
-        """Appends one record, trying again under the same append id."""
+        """Appends one record, retrying with the same append id."""
         envelope = records.Envelope(
             uuid.uuid4().hex, "operator", (codec.to_plain(record),)
         )
--- a/sesamecross/operators/losses.py
+++ b/sesamecross/operators/losses.py
@@ -1,9 +1,9 @@
-"""Says from gateways' logs why requests were refused, failed or held.
+"""Reports from gateway logs why requests were refused, failed or delayed.
 
-Why: after a bad hour an operator has the logs of all instances, and wants to
-know which few causes most of the loss comes from, for whom and when, before
-looking at any single request. A cause is what the instance itself wrote down
-when it decided; nothing is guessed from elsewhere.
+After an incident an operator has the logs of all instances and wants to know
+which few causes account for most of the losses, on which routes and when,
+before looking at single requests. A cause is derived only from what the
+instance logged when it made the decision.
 """
 
 from collections import Counter
@@ -19,16 +19,16 @@
 from sesamecross.operators import outcomes
 
 WINDOW_S = 10
-# A request that was held longer than this says so by its cause.
+# A request that waited longer than this is reported as having waited.
 MIN_DELAY_MS = 50
-# A request without a plan that was held longer than this waited for an adapter:
-# for news of a model it waits less.
+# A request without a plan that waited longer than this waited for an adapter:
+# the wait for news of a model is shorter.
 ADAPTER_WAIT_MS = 400
 _REQUEST = "request: "
 
 
 class Cause(enum.Enum):
-    """What became of a request, where it was not served at once."""
+    """Why a request was not served at once."""
 
     FULL = "refused: no turn at the engines that hold the model"
     FULL_AFTER_WAIT = "refused: no turn, after a wait for the model"
@@ -48,13 +48,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestEnd:
-    """One request, as its instance logged its end.
+    """The end of a request, as logged by its instance.
 
     Attributes:
-      at_s: Seconds of the day's wall clock since the epoch.
-      cause: None where it was served at once.
-      held_ms: How long it was kept waiting here: for its model and its turn
-        where it was served, and else until it was given up.
+      at_s: Wall-clock time in seconds since the epoch.
+      route: The route's name.
+      cause: None if it was served at once.
+      held_ms: How long it waited at the instance: for its model and its turn if
+        it was served, otherwise until it ended.
     """
 
     at_s: float
@@ -65,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CauseSummary:
-    """Requests of one cause."""
+    """Summary of the requests with one cause."""
 
     cause: Cause
     count: int
@@ -75,22 +76,22 @@
 
 
 def parse_line(line: str) -> dict[str, Any] | None:
-    """Returns a log line's fields; None where it is none.
+    """Returns the fields of a log line, or None if it is not a JSON line.
 
-    Collectors put the time and the instance's name before the line.
+    Log collectors prepend the time and the instance's name to the line.
     """
-    begins = line.find("{")
-    if begins < 0:
+    start = line.find("{")
+    if start < 0:
         return None
     try:
-        row = json.loads(line[begins:])
+        row = json.loads(line[start:])
     except ValueError:
         return None
     return row if isinstance(row, dict) else None
 
 
 def parse_request(row: dict[str, Any]) -> RequestEnd | None:
-    """Returns a request's end; None where a line tells of something else."""
+    """Returns the end of a request, or None for any other line."""
     event = row.get("event")
     if not isinstance(event, str) or not event.startswith(_REQUEST):
         return None
@@ -106,15 +107,17 @@
         return None
     outcome = event.removeprefix(_REQUEST)
     if outcome == "refused":
-        cause = _refused(row, waited_ms)
+        cause = _refusal_cause(row, waited_ms)
     else:
-        cause = _cause(outcome, waited_ms, paced_ms)
+        cause = _outcome_cause(outcome, waited_ms, paced_ms)
     if cause in (Cause.WAITED_MODEL, Cause.WAITED_TURN):
         held_ms = waited_ms + paced_ms
     return RequestEnd(at_s, str(row["route"]), cause, held_ms)
 
 
-def _cause(outcome: str, waited_ms: float, paced_ms: float) -> Cause | None:
+def _outcome_cause(
+    outcome: str, waited_ms: float, paced_ms: float
+) -> Cause | None:
     if outcome == "caller gone":
         return Cause.GONE
     if outcome.startswith("cut"):
@@ -128,7 +131,7 @@
     return None
 
 
-def _refused(row: dict[str, Any], waited_ms: float) -> Cause:
+def _refusal_cause(row: dict[str, Any], waited_ms: float) -> Cause:
     waited = waited_ms > MIN_DELAY_MS
     note = str(row.get("note", ""))
     if "configuration" in note:
@@ -147,38 +150,44 @@
 
 
 def summarize(requests: Iterable[RequestEnd]) -> tuple[CauseSummary, ...]:
-    """Returns the requests by cause, the most frequent one first."""
+    """Returns a summary for each cause, the most frequent one first."""
     by_cause: dict[Cause, list[RequestEnd]] = {}
-    for one in requests:
-        if one.cause is not None:
-            by_cause.setdefault(one.cause, []).append(one)
-    found = [
+    for request in requests:
+        if request.cause is not None:
+            by_cause.setdefault(request.cause, []).append(request)
+    summaries = [
         CauseSummary(
             cause,
-            len(those),
-            sum(one.held_ms for one in those) / len(those),
-            tuple(Counter(one.route for one in those).most_common()),
-            tuple(sorted(Counter(_window(one) for one in those).items())),
+            len(members),
+            sum(request.held_ms for request in members) / len(members),
+            tuple(Counter(request.route for request in members).most_common()),
+            tuple(
+                sorted(Counter(_window(request) for request in members).items())
+            ),
         )
-        for cause, those in by_cause.items()
+        for cause, members in by_cause.items()
     ]
-    return tuple(sorted(found, key=lambda one: (-one.count, one.cause.name)))
+    return tuple(
+        sorted(summaries, key=lambda each: (-each.count, each.cause.name))
+    )
 
 
-def _window(one: RequestEnd) -> int:
-    return int(one.at_s // WINDOW_S) * WINDOW_S
+def _window(request: RequestEnd) -> int:
+    return int(request.at_s // WINDOW_S) * WINDOW_S
 
 
 def explain(paths: Iterable[pathlib.Path]) -> outcomes.Outcome:
-    """Reads logs and says what the requests in them were lost to."""
+    """Reads logs and reports why requests in them were lost or delayed."""
     requests: list[RequestEnd] = []
     problems = []
     for path in paths:
         try:
             with path.open(encoding="utf-8", errors="replace") as lines:
                 rows = (parse_line(line) for line in lines)
-                told = (parse_request(row) for row in rows if row is not None)
-                requests.extend(one for one in told if one is not None)
+                parsed = (parse_request(row) for row in rows if row is not None)
+                requests.extend(
+                    request for request in parsed if request is not None
+                )
         except OSError as error:
             problems.append(_unreadable(path, error))
     if problems:
@@ -197,19 +206,19 @@
 
 
 def _outcome(
-    requests: list[RequestEnd], found: tuple[CauseSummary, ...]
+    requests: list[RequestEnd], summaries: tuple[CauseSummary, ...]
 ) -> outcomes.Outcome:
     lines = [f"{len(requests)} requests"]
-    for group in found:
-        share = group.count / len(requests)
+    for summary in summaries:
+        share = summary.count / len(requests)
         lines.append(
-            f"{group.count:7} {share:6.1%}  {group.cause.value};"
-            f" held {group.held_ms:.0f} ms on average"
+            f"{summary.count:7} {share:6.1%}  {summary.cause.value};"
+            f" held {summary.held_ms:.0f} ms on average"
         )
-        routes = ", ".join(f"{name} {n}" for name, n in group.by_route[:5])
+        routes = ", ".join(f"{name} {n}" for name, n in summary.by_route[:5])
         lines.append(f"{'':15} routes: {routes}")
         windows = ", ".join(
-            f"{_clock(at_s)} {n}" for at_s, n in group.by_window
+            f"{_time_of_day(at_s)} {n}" for at_s, n in summary.by_window
         )
         lines.append(f"{'':15} from: {windows}")
     document = {
@@ -217,19 +226,19 @@
         "window_s": WINDOW_S,
         "causes": [
             {
-                "cause": group.cause.name.lower(),
-                "text": group.cause.value,
-                "count": group.count,
-                "held_ms": round(group.held_ms, 1),
-                "by_route": dict(group.by_route),
-                "by_window": dict(group.by_window),
+                "cause": summary.cause.name.lower(),
+                "text": summary.cause.value,
+                "count": summary.count,
+                "held_ms": round(summary.held_ms, 1),
+                "by_route": dict(summary.by_route),
+                "by_window": dict(summary.by_window),
             }
-            for group in found
+            for summary in summaries
         ],
     }
     return outcomes.Outcome(outcomes.ExitCode.OK, document, tuple(lines))
 
 
-def _clock(at_s: int) -> str:
+def _time_of_day(at_s: int) -> str:
     at = datetime.datetime.fromtimestamp(at_s, datetime.UTC)
     return at.strftime("%H:%M:%S")
--- a/sesamecross/operators/losses_test.py
+++ b/sesamecross/operators/losses_test.py
@@ -1,4 +1,4 @@
-"""Tests of what requests were lost to, by gateways' logs."""
+"""Tests of the loss report that is made from gateway logs."""
 
 import io
 import json
@@ -12,9 +12,9 @@
 from sesamecross.operators import command_line
 from sesamecross.operators import losses
 
-MODEL = {"target": "m", "waited_ms": 0, "paced_ms": 0}
-WAITED = MODEL | {"waited_ms": 900}
-ADAPTER = WAITED | {"target": "m/a1"}
+MODEL_FIELDS = {"target": "m", "waited_ms": 0, "paced_ms": 0}
+WAITED_FIELDS = MODEL_FIELDS | {"waited_ms": 900}
+ADAPTER_FIELDS = WAITED_FIELDS | {"target": "m/a1"}
 
 
 def row(outcome: str, **fields) -> dict:
@@ -28,33 +28,39 @@
 
 
 CAUSES = [
-    (row("refused", **MODEL, full=["e1"]), losses.Cause.FULL),
-    (row("refused", **WAITED, full=["e1"]), losses.Cause.FULL_AFTER_WAIT),
-    (row("refused", **MODEL, expected_in_s=4.0), losses.Cause.TOO_LATE),
-    (row("refused", **WAITED, expected_in_s=1), losses.Cause.WAITED_TOO_LATE),
-    (row("refused", **MODEL), losses.Cause.NO_PLAN),
-    (row("refused", **ADAPTER), losses.Cause.ADAPTER),
+    (row("refused", **MODEL_FIELDS, full=["e1"]), losses.Cause.FULL),
+    (
+        row("refused", **WAITED_FIELDS, full=["e1"]),
+        losses.Cause.FULL_AFTER_WAIT,
+    ),
+    (row("refused", **MODEL_FIELDS, expected_in_s=4.0), losses.Cause.TOO_LATE),
+    (
+        row("refused", **WAITED_FIELDS, expected_in_s=1),
+        losses.Cause.WAITED_TOO_LATE,
+    ),
+    (row("refused", **MODEL_FIELDS), losses.Cause.NO_PLAN),
+    (row("refused", **ADAPTER_FIELDS), losses.Cause.ADAPTER),
     (
         row("refused", note="no configuration yet"),
         losses.Cause.NO_CONFIGURATION,
     ),
-    (row("refused", note="stopping", **MODEL), losses.Cause.STOPPING),
+    (row("refused", note="stopping", **MODEL_FIELDS), losses.Cause.STOPPING),
     (row("refused", note="no upstream"), losses.Cause.NO_UPSTREAM),
-    (row("caller gone", **MODEL), losses.Cause.GONE),
-    (row("cut at its time", **MODEL), losses.Cause.CUT),
+    (row("caller gone", **MODEL_FIELDS), losses.Cause.GONE),
+    (row("cut at its time", **MODEL_FIELDS), losses.Cause.CUT),
     (row("status 504"), losses.Cause.FAILED),
-    (row("streamed", **WAITED), losses.Cause.WAITED_MODEL),
+    (row("streamed", **WAITED_FIELDS), losses.Cause.WAITED_MODEL),
     (
-        row("streamed", **(MODEL | {"paced_ms": 300})),
+        row("streamed", **(MODEL_FIELDS | {"paced_ms": 300})),
         losses.Cause.WAITED_TURN,
     ),
-    (row("streamed", **MODEL), None),
+    (row("streamed", **MODEL_FIELDS), None),
     (row("status 200"), None),
 ]
 
 
 @pytest.mark.parametrize(("logged", "cause"), CAUSES)
-def test_each_end_of_a_request_has_its_cause(logged, cause):
+def test_each_outcome_of_a_request_has_its_cause(logged, cause):
     line = f"  12.5 front-1 {json.dumps(logged)}\n"
     assert losses.parse_request(losses.parse_line(line)).cause is cause
 
@@ -70,30 +76,30 @@
     return command.run(words), stdout.getvalue(), stderr.getvalue()
 
 
-def test_the_command_tells_the_most_frequent_cause_first(tmp_path):
-    one = write(tmp_path / "one", [row("refused", **MODEL, full=["e1"])])
-    more = [row("status 200"), *[row("refused", **MODEL)] * 2]
+def test_the_command_reports_the_most_frequent_cause_first(tmp_path):
+    one = write(tmp_path / "one", [row("refused", **MODEL_FIELDS, full=["e1"])])
+    more = [row("status 200"), *[row("refused", **MODEL_FIELDS)] * 2]
     other = write(tmp_path / "other", more)
-    code, said, _ = run("losses", one, other)
-    lines = said.splitlines()
+    code, output, _ = run("losses", one, other)
+    lines = output.splitlines()
     assert (code, lines[0]) == (0, "4 requests")
     assert lines[1].split()[:2] == ["2", "50.0%"]
-    code, said, _ = run("losses", "--json", one, other)
-    document = json.loads(said)
+    code, output, _ = run("losses", "--json", one, other)
+    document = json.loads(output)
     assert [each["cause"] for each in document["causes"]] == ["no_plan", "full"]
     assert document["causes"][0]["by_route"] == {"r": 2}
 
 
 def test_a_log_that_cannot_be_read_is_a_problem_with_a_remedy(tmp_path):
-    code, _, said = run("losses", str(tmp_path / "absent"))
+    code, _, output = run("losses", str(tmp_path / "absent"))
     assert code == 1
-    assert "name files" in said
+    assert "name files" in output
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.text(), st.dictionaries(st.text(), st.integers() | st.text()))
-def test_lines_of_others_are_passed_over(text, fields):
-    """Guards against a report that fails on one damaged line."""
+def test_unrelated_lines_are_skipped(text, fields):
+    """Guards against one damaged line that fails the whole report."""
     for line in (text, json.dumps(fields)):
         found = losses.parse_line(line)
         assert found is None or losses.parse_request(found) is None
@@ -113,7 +119,7 @@
     ],
 )
 @pytest.mark.parametrize("outcome", ["refused", "streamed"])
-def test_a_damaged_field_fails_no_report(outcome, damage):
-    """Guards against a report that fails on one damaged line."""
-    found = losses.parse_request(row(outcome, **(MODEL | damage)))
+def test_a_damaged_field_does_not_fail_the_report(outcome, damage):
+    """Guards against one damaged line that fails the whole report."""
+    found = losses.parse_request(row(outcome, **(MODEL_FIELDS | damage)))
     assert found is None or found.held_ms >= 0
--- a/sesamecross/operators/outcomes.py
+++ b/sesamecross/operators/outcomes.py
@@ -1,7 +1,7 @@
-"""Exit codes of the operators' command, and what a command returns.
+"""Exit codes and outcomes of the operators' commands.
 
-Why: scripts in version control decide by exit code, so each has one meaning,
-documented in docs/OPERATING.md.
+Scripts depend on the exit codes, so each has one meaning, documented in
+docs/OPERATING.md.
 """
 
 import dataclasses
@@ -12,7 +12,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Exit codes. 2 is argparse's own for wrong usage."""
+    """Exit codes. 2 is the one that argparse uses for wrong usage."""
 
     OK = 0
     PROBLEMS = 1
@@ -25,12 +25,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a command found.
+    """The result of a command.
 
     Attributes:
+      code: The exit code.
       document: The whole result as plain data, for `--json`.
-      lines: The same for people.
-      problems: What went wrong, each with its remedy.
+      lines: The same result as text.
+      problems: The errors, each with its remedy.
     """
 
     code: ExitCode
@@ -40,10 +41,10 @@
 
 
 class InterruptOutcome:
-    """What a command answers if it is interrupted now.
+    """The outcome that a command prints if it is interrupted now.
 
-    Each step sets it before it begins, so that a signal at any moment gets an
-    answer that is true.
+    Each step sets it before it begins, so that an interruption at any moment
+    prints a correct outcome.
     """
 
     __slots__ = ("outcome",)
@@ -53,7 +54,7 @@
 
 
 def failed(code: ExitCode, problems: list[errors.Problem]) -> Outcome:
-    """Returns an outcome that consists of problems only."""
+    """Returns an outcome with problems only."""
     return Outcome(code, {}, (), tuple(problems))
 
 
--- a/sesamecross/operators/status_text.py
+++ b/sesamecross/operators/status_text.py
@@ -1,4 +1,4 @@
-"""Renders the deployment's status for people and as plain data."""
+"""Renders the deployment's status as text and as plain data."""
 
 from typing import Any
 
@@ -11,20 +11,22 @@
     """Returns the status as plain data."""
     answering = {n: s for n, s in statuses.items() if s is not None}
     newest = max((s.version for s in answering.values()), default=0)
-    best = max(answering.values(), key=lambda s: s.next_offset, default=None)
+    latest = max(answering.values(), key=lambda s: s.next_offset, default=None)
     return {
         "version": newest,
         "instances": {
             name: _instance(status, newest)
             for name, status in sorted(statuses.items())
         },
-        "leases": best.leases if best else {},
-        "upstreams": _upstreams(best),
-        "unresolved_orders": [list(u) for u in best.unresolved] if best else [],
+        "leases": latest.leases if latest else {},
+        "upstreams": _upstreams(latest),
+        "unresolved_orders": [list(u) for u in latest.unresolved]
+        if latest
+        else [],
         "shortfalls": sorted(
             {text for s in answering.values() for text in s.unplaced}
         ),
-        "open_claims": best.open_claims if best else 0,
+        "open_claims": latest.open_claims if latest else 0,
         "moves": sum(s.moves for s in answering.values()),
     }
 
@@ -93,14 +95,14 @@
     """Returns the status as lines of text."""
     result = [f"configuration version {status['version']} in force"]
     result.append("instances:")
-    for name, one in status["instances"].items():
-        result.append("  " + _instance_line(name, one))
+    for name, info in status["instances"].items():
+        result.append("  " + _instance_line(name, info))
     result.append("leases:")
     for zone, holder in status["leases"].items():
         result.append(f"  {zone}: {holder}")
     result.append("upstreams:")
-    for name, one in status["upstreams"].items():
-        result.append("  " + _upstream_line(name, one))
+    for name, info in status["upstreams"].items():
+        result.append("  " + _upstream_line(name, info))
     result.append(
         f"moves {status['moves']}, unresolved orders"
         f" {len(status['unresolved_orders'])}, open claims"
@@ -110,26 +112,26 @@
     return result
 
 
-def _instance_line(name: str, one: dict[str, Any]) -> str:
-    if one["state"] == "missing":
-        return f"{name}: missing; {one['remedy']}"
+def _instance_line(name: str, info: dict[str, Any]) -> str:
+    if info["state"] == "missing":
+        return f"{name}: missing; {info['remedy']}"
     text = (
-        f"{name}: {one['state']}, {one['zone']}, version {one['version']},"
-        f" entry at {one['entry_version']}"
+        f"{name}: {info['state']}, {info['zone']}, version {info['version']},"
+        f" entry at {info['entry_version']}"
     )
-    if one["suspects"]:
-        text += ", suspects " + " ".join(one["suspects"])
-    if "remedy" in one:
-        text += f"; {one['remedy']}"
+    if info["suspects"]:
+        text += ", suspects " + " ".join(info["suspects"])
+    if "remedy" in info:
+        text += f"; {info['remedy']}"
     return text
 
 
-def _upstream_line(name: str, one: dict[str, Any]) -> str:
+def _upstream_line(name: str, info: dict[str, Any]) -> str:
     share = 0
-    if one["capacity_mib"]:
-        share = 100 * one["used_mib"] // one["capacity_mib"]
+    if info["capacity_mib"]:
+        share = 100 * info["used_mib"] // info["capacity_mib"]
     return (
-        f"{name}: {one['state']}, memory {one['used_mib']}"
-        f"/{one['capacity_mib']} MiB ({share}%), running {one['running']},"
-        f" waiting {one['waiting']}, resident {len(one['resident'])}"
+        f"{name}: {info['state']}, memory {info['used_mib']}"
+        f"/{info['capacity_mib']} MiB ({share}%), running {info['running']},"
+        f" waiting {info['waiting']}, resident {len(info['resident'])}"
     )
--- a/sesamecross/operators/timeline_formats.py
+++ b/sesamecross/operators/timeline_formats.py
@@ -1,8 +1,8 @@
-"""The time line as text, JSON lines, trace events and a page.
+"""Renders the timeline as text, JSON lines, trace events or an HTML page.
 
-Why: text for a terminal, JSON lines for tools, the trace-event form for the
-common trace viewers, and one self-contained page that draws a lane for each
-process, to be attached to a report.
+Text is for terminals, JSON lines for tools, the trace event format for common
+trace viewers. The HTML page is self-contained, draws a lane for each process
+and can be attached to a report.
 """
 
 from collections.abc import Sequence
@@ -49,9 +49,9 @@
 
 
 def as_trace(events: Events) -> str:
-    """Returns a document in the trace-event form."""
+    """Returns a document in the trace event format."""
     processes = sorted({event.process for event in events})
-    numbers = {name: place for place, name in enumerate(processes, 1)}
+    numbers = {name: number for number, name in enumerate(processes, 1)}
     rows: list[dict] = [
         {
             "ph": "M",
@@ -122,12 +122,12 @@
 
 
 def as_page(events: Events, missing: Sequence[str]) -> str:
-    """Returns a self-contained page with a lane for each process."""
+    """Returns a self-contained HTML page with a lane for each process."""
     lanes = sorted({event.process for event in events})
     first = min((event.wall_ms for event in events), default=0)
     last = max((event.wall_ms for event in events), default=1)
     span = max(1, last - first)
-    shapes = [_lane(place, name) for place, name in enumerate(lanes)]
+    shapes = [_lane(lane, name) for lane, name in enumerate(lanes)]
     for event in events:
         x = _LEFT_PX + (event.wall_ms - first) / span * (_WIDTH_PX - 20)
         shapes.append(_dot(event, x, lanes.index(event.process)))
@@ -153,8 +153,8 @@
     )
 
 
-def _lane(place: int, name: str) -> str:
-    y = place * _LANE_PX + 20
+def _lane(lane: int, name: str) -> str:
+    y = lane * _LANE_PX + 20
     return (
         f'<text x="0" y="{y + 4}">{html.escape(name)}</text>'
         f'<line x1="{_LEFT_PX}" x2="{_LEFT_PX + _WIDTH_PX}" y1="{y}"'
@@ -162,8 +162,8 @@
     )
 
 
-def _dot(event: timeline.TimelineEvent, x: float, place: int) -> str:
-    y = place * _LANE_PX + 20
+def _dot(event: timeline.TimelineEvent, x: float, lane: int) -> str:
+    y = lane * _LANE_PX + 20
     text = html.escape(_text(event), quote=True)
     colour = _COLOURS[event.kind.value]
     return (
