--- a/sesamecross/devtools/demo.py
+++ b/sesamecross/devtools/demo.py
@@ -18,7 +18,7 @@
 from sesamecross.operators import command_line
 
 EXAMPLE = pathlib.Path("examples/namib")
-WORK = pathlib.Path(".demo")
+WORK_DIR = pathlib.Path(".demo")
 CHAT_MODEL = "advice-fade"
 CHAT_ADAPTER = "advice-fade-a01"
 ORDER_PATH = "/services/orders/orders"
@@ -26,12 +26,12 @@
 Say = Callable[[str], None]
 
 
-def shape() -> deployment_lib.Shape:
+def demo_spec() -> deployment_lib.DeploymentSpec:
     """Returns the Namib-like deployment of the demo."""
-    return deployment_lib.Shape(EXAMPLE, entries_per_zone=2)
+    return deployment_lib.DeploymentSpec(EXAMPLE, entries_per_zone=2)
 
 
-class Operator:
+class OperatorCli:
     """Runs the operators' command as a person would."""
 
     def __init__(self, deployment: deployment_lib.Deployment):
@@ -97,7 +97,7 @@
 
 def _demo(runner: runner_lib.Runner, say: Say) -> int:
     began = time.monotonic()
-    deployment = runner.deployment(shape(), WORK)
+    deployment = runner.deployment(demo_spec(), WORK_DIR)
     failures = _tell(deployment, say)
     for failure in failures:
         say(f"FAILED: {failure}")
@@ -114,7 +114,7 @@
 
 def _tell(deployment: deployment_lib.Deployment, say: Say) -> list[str]:
     failures: list[str] = []
-    operator = Operator(deployment)
+    operator = OperatorCli(deployment)
     say("A Namib-like deployment on loopback: three availability zones, two")
     say("entry instances each, six engines, three order services, and fakes")
     say("of the platform's log, weight store and instance list.\n")
@@ -138,7 +138,7 @@
 
 def _tell_publish(
     deployment: deployment_lib.Deployment,
-    operator: Operator,
+    operator: OperatorCli,
     say: Say,
     failures: list[str],
 ) -> None:
@@ -158,7 +158,7 @@
 
 def _tell_chat(
     deployment: deployment_lib.Deployment,
-    operator: Operator,
+    operator: OperatorCli,
     say: Say,
     failures: list[str],
 ) -> None:
@@ -192,7 +192,7 @@
                 (first, second),
             )
         )
-    runs = order_runs(deployment, "demo-1")
+    runs = count_order_runs(deployment, "demo-1")
     say(
         f"\nOne order posted at the same moment to {first.name} and"
         f" {second.name}: answers {[a[0] for a in answers]}, the services ran"
@@ -202,7 +202,7 @@
         failures.append(f"the order ran {runs} times")
 
 
-def order_runs(deployment: deployment_lib.Deployment, key: str) -> int:
+def count_order_runs(deployment: deployment_lib.Deployment, key: str) -> int:
     """Returns how often the services ran a key, by their own records."""
     total = 0
     for url in deployment.service_urls.values():
@@ -234,12 +234,12 @@
         f"{name} {process.pid}\n"
         for name, process in deployment.processes.items()
     )
-    (WORK / "pids").write_text(pids, encoding="utf-8")
+    (WORK_DIR / "pids").write_text(pids, encoding="utf-8")
     text = "".join(f"{key}='{value}'\n" for key, value in lines.items())
     # Written last and moved into place: whoever waits for this file finds a
     # deployment that is ready.
-    (WORK / "env.new").write_text(text, encoding="utf-8")
-    (WORK / "env.new").rename(WORK / "env")
+    (WORK_DIR / "env.new").write_text(text, encoding="utf-8")
+    (WORK_DIR / "env.new").rename(WORK_DIR / "env")
 
 
 def run_up(say: Say) -> int:
@@ -248,13 +248,13 @@
 
 
 def _up(runner: runner_lib.Runner, say: Say) -> int:
-    deployment = runner.deployment(shape(), WORK)
+    deployment = runner.deployment(demo_spec(), WORK_DIR)
     try:
         if not _start(deployment, say):
             return 1
         say("Ready. Addresses are in .demo/env, processes in .demo/pids.")
         threading.Event().wait()
-    except runner_lib.StopAsked:
+    except runner_lib.StopRequested:
         # Nothing is said before the stop: the terminal may be gone.
         codes = deployment.stop()
     failed = {
@@ -271,7 +271,7 @@
     """Starts all and writes the addresses; tells whether it could."""
     deployment.start_fakes()
     deployment.start_instances()
-    code, text = Operator(deployment).run(
+    code, text = OperatorCli(deployment).run(
         "publish", str(deployment.config_dir), "--author", "up"
     )
     say(text.rstrip())
--- a/sesamecross/devtools/deployment.py
+++ b/sesamecross/devtools/deployment.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Shape:
+class DeploymentSpec:
     """What to start.
 
     Attributes:
@@ -58,7 +58,7 @@
     region: str
     entry_address: str
     steward_address: str
-    steward_http: str
+    steward_http_address: str
 
     @property
     def entry_url(self) -> str:
@@ -71,9 +71,9 @@
 
     def __init__(
         self,
-        shape: Shape,
-        work: pathlib.Path,
-        held: Callable[
+        spec: DeploymentSpec,
+        work_dir: pathlib.Path,
+        defer_signals: Callable[
             [], contextlib.AbstractContextManager
         ] = contextlib.nullcontext,
     ):
@@ -85,10 +85,10 @@
           held: Keeps interruptions back while a process is started or the
             deployment is stopped; a runner brings it.
         """
-        self._held = held
-        self.shape = shape
-        self.work = work
-        self.config_dir = work / "config"
+        self._defer_signals = defer_signals
+        self.spec = spec
+        self.work_dir = work_dir
+        self.config_dir = work_dir / "config"
         self.processes: dict[str, processes.Process] = {}
         self.instances: list[Instance] = []
         self.engine_urls: dict[str, str] = {}
@@ -98,10 +98,10 @@
     # -- addresses -------------------------------------------------------
 
     def _prepare(self) -> None:
-        shutil.rmtree(self.work, ignore_errors=True)
+        shutil.rmtree(self.work_dir, ignore_errors=True)
         self.config_dir.mkdir(parents=True)
-        (self.work / "logs").mkdir()
-        for path in sorted(self.shape.example.glob("*.toml")):
+        (self.work_dir / "logs").mkdir()
+        for path in sorted(self.spec.example.glob("*.toml")):
             shutil.copy(path, self.config_dir / path.name)
         checked = folder_lib.check(self.config_dir)
         if checked.declarations is None:
@@ -133,7 +133,7 @@
 
     def _place_instances(self, zones: list[data.Zone]) -> None:
         for zone in zones:
-            for number in range(1, self.shape.entries_per_zone + 1):
+            for number in range(1, self.spec.entries_per_zone + 1):
                 self.instances.append(
                     Instance(
                         f"{zone.name}-entry-{number}",
@@ -147,7 +147,7 @@
 
     def via_proxy(self, link: str, address: str) -> str:
         """Returns where `address` is reached, through the proxy if asked."""
-        if not self.shape.proxied:
+        if not self.spec.proxied:
             return address
         if link not in self._links:
             self._links[link] = f"{self._address()}>{address}"
@@ -178,9 +178,9 @@
         overrides = {"upstreams": upstreams, "callers": callers}
         path = self.config_dir / "90-loopback.toml"
         path.write_text(tomli_w.dumps(overrides))
-        if self.shape.extra:
+        if self.spec.extra:
             path = self.config_dir / "95-extra.toml"
-            path.write_text(tomli_w.dumps(self.shape.extra))
+            path.write_text(tomli_w.dumps(self.spec.extra))
         checked = folder_lib.check(self.config_dir)
         if checked.declarations is None:
             raise ValueError("\n".join(map(str, checked.problems)))
@@ -194,8 +194,8 @@
     # -- processes -------------------------------------------------------
 
     def _start(self, name: str, command: list[str]) -> processes.Process:
-        log_path = self.work / "logs" / f"{name}.log"
-        with self._held():
+        log_path = self.work_dir / "logs" / f"{name}.log"
+        with self._defer_signals():
             process = processes.Process(name, command, log_path)
             self.processes[name] = process
         return process
@@ -214,10 +214,10 @@
                     url.removeprefix("http://"),
                     "--name",
                     name,
-                    *self.shape.service_flags,
+                    *self.spec.service_flags,
                 ),
             )
-        if self.shape.proxied:
+        if self.spec.proxied:
             self._prepare_instance_links()
             self._start_proxy()
         urls = [self.log_url, self.store_url, self.instances_url]
@@ -226,10 +226,10 @@
             processes.wait_http(f"{url}/healthz")
 
     def _start_platform(self) -> None:
-        shape = self.shape
+        spec = self.spec
         for role, url, flags in (
-            ("log", self.log_url, shape.log_flags),
-            ("store", self.store_url, shape.store_flags),
+            ("log", self.log_url, spec.log_flags),
+            ("store", self.store_url, spec.store_flags),
             ("instances", self.instances_url, ()),
         ):
             listen = url.removeprefix("http://")
@@ -250,7 +250,7 @@
             str(upstream.memory_mib),
             "--store-url",
             self.store_url,
-            *self.shape.engine_flags,
+            *self.spec.engine_flags,
         ]
         if upstream.checks_fencing:
             flags.append("--checks-fencing")
@@ -276,12 +276,12 @@
     def start_instances(self) -> None:
         """Lists and starts all stewards and entries."""
         for instance in self.instances:
-            self.list_instance(instance, "live", at_once=True)
+            self.set_instance_state(instance, "live", at_once=True)
         for instance in self.instances:
             self.start_steward(instance)
             self.start_entry(instance)
 
-    def list_instance(
+    def set_instance_state(
         self, instance: Instance, state: str, at_once: bool = False
     ) -> None:
         """Sets an instance's line in the platform's list."""
@@ -310,11 +310,11 @@
             "region": instance.region,
             "listen": instance.steward_address,
             "advertise": advertised,
-            "metrics_listen": instance.steward_http,
+            "metrics_listen": instance.steward_http_address,
             "log_url": self._log_url_of(instance),
             "instances_url": self.instances_url,
             "shared_key": SHARED_KEY,
-            **self.shape.steward_settings,
+            **self.spec.steward_settings,
         }
         return self._start_with("steward", instance, settings)
 
@@ -328,21 +328,21 @@
             "steward": instance.steward_address,
             "shared_key": SHARED_KEY,
             "balancer_lag_ms": 300,
-            **self.shape.entry_settings,
+            **self.spec.entry_settings,
         }
         return self._start_with("entry", instance, settings)
 
     def _start_with(
         self, role: str, instance: Instance, settings: dict
     ) -> processes.Process:
-        path = self.work / f"{role}-{instance.name}.toml"
+        path = self.work_dir / f"{role}-{instance.name}.toml"
         path.write_text(tomli_w.dumps(settings))
         return self._start(
             f"{role}-{instance.name}",
             processes.command(role, "--settings", str(path)),
         )
 
-    def wait_ready(self, timeout_s: float = processes.READY_S) -> None:
+    def wait_ready(self, timeout_s: float = processes.READY_TIMEOUT_S) -> None:
         """Waits until every entry is ready for calls."""
         for instance in self.instances:
             processes.wait_http(f"{instance.entry_url}/readyz", timeout_s)
@@ -366,17 +366,19 @@
             if not missing:
                 return time.monotonic() - began
             if time.monotonic() - began > timeout_s:
-                raise processes.NotReady(f"not resident: {sorted(missing)}")
+                raise processes.NotReadyError(
+                    f"not resident: {sorted(missing)}"
+                )
             time.sleep(0.1)
 
-    def fault(self, link: str, **faults: object) -> None:
+    def set_link_faults(self, link: str, **faults: object) -> None:
         """Sets faults on a link of the proxy."""
         body = {"link": link, **faults}
         processes.post_json(f"{self.proxy_url}/fake/faults", body)
 
     def stop(self) -> dict[str, int | None]:
         """Stops all gracefully, callers' side first; returns exit codes."""
-        with self._held():
+        with self._defer_signals():
             return self._stop()
 
     def _stop(self) -> dict[str, int | None]:
--- a/sesamecross/devtools/experiment.py
+++ b/sesamecross/devtools/experiment.py
@@ -28,11 +28,13 @@
 # in multiples of it.
 CAPACITY = 26.0
 
-KINDS = (
-    load_lib.Kind("report", MODELS[:2], 0.85, 24, 500, 60, 40, 320.0, 55.0),
-    load_lib.Kind("digest", MODELS[2:], 0.15, 4, 100, 300, 60, 5000.0, 200.0),
+CALL_KINDS = (
+    load_lib.CallKind("report", MODELS[:2], 0.85, 24, 500, 60, 40, 320.0, 55.0),
+    load_lib.CallKind(
+        "digest", MODELS[2:], 0.15, 4, 100, 300, 60, 5000.0, 200.0
+    ),
 )
-SCENES = {
+SCENARIOS = {
     "burst": (1.0, ""),
     "overload": (3.0, ""),
     "engine-lost": (0.8, "engine"),
@@ -80,19 +82,19 @@
 
 
 def _start(
-    runner: runner_lib.Runner, policy: str, work: pathlib.Path
+    runner: runner_lib.Runner, policy: str, work_dir: pathlib.Path
 ) -> deployment_lib.Deployment:
-    shape = deployment_lib.Shape(
-        _folder(work / "folder"),
+    spec = deployment_lib.DeploymentSpec(
+        _folder(work_dir / "folder"),
         entries_per_zone=2,
         engine_flags=ENGINE_FLAGS,
         store_flags=("--loads-per-second", "100", "--load-s", "0.02"),
         entry_settings={"policy": policy, "threads": 256},
     )
-    deployment = runner.deployment(shape, work / "run")
+    deployment = runner.deployment(spec, work_dir / "run")
     deployment.start_fakes()
     deployment.start_instances()
-    demo.Operator(deployment).run("publish", str(deployment.config_dir))
+    demo.OperatorCli(deployment).run("publish", str(deployment.config_dir))
     deployment.wait_ready()
     for url in deployment.engine_urls.values():
         _wait_all_resident(url)
@@ -130,10 +132,10 @@
     scene: str,
     policies: list[str],
     seeds: list[int],
-    work: pathlib.Path,
+    work_dir: pathlib.Path,
 ) -> dict:
     """Runs one scene; returns the figures by policy."""
-    factor, fault = SCENES[scene]
+    factor, fault = SCENARIOS[scene]
     phases = (
         load_lib.Phase(4.0, CAPACITY * 0.6, measured=False),
         load_lib.Phase(10.0, CAPACITY * factor),
@@ -144,10 +146,10 @@
         deployment = None
         for seed in seeds:
             if deployment is None:
-                deployment = _start(runner, policy, work / policy)
+                deployment = _start(runner, policy, work_dir / policy)
             urls = [i.entry_url for i in deployment.instances]
-            load = load_lib.Load(urls, deployment_lib.CALLER_KEY)
-            arrivals = load_lib.schedule(KINDS, phases, len(urls), seed)
+            load = load_lib.LoadGenerator(urls, deployment_lib.CALLER_KEY)
+            arrivals = load_lib.schedule(CALL_KINDS, phases, len(urls), seed)
             results = load.run(arrivals, _events(deployment, fault))
             runs.append(load_lib.summary(results, phases[1].seconds))
             runs[-1]["engines"] = _engines(deployment)
@@ -183,12 +185,12 @@
 
 
 def main(
-    scene: str, policies: list[str], seeds: list[int], work: pathlib.Path
+    scene: str, policies: list[str], seeds: list[int], work_dir: pathlib.Path
 ) -> int:
     """Runs and prints; returns the exit code."""
 
     def tool(runner: runner_lib.Runner) -> int:
-        found = run(runner, scene, policies, seeds, work)
+        found = run(runner, scene, policies, seeds, work_dir)
         print(json.dumps({scene: found}, indent=2))
         return 0
 
--- a/sesamecross/devtools/known_red.py
+++ b/sesamecross/devtools/known_red.py
@@ -13,12 +13,12 @@
 _FIELDS = ("test", "command", "seen", "issue")
 
 
-class BadList(ValueError):
+class InvalidListError(ValueError):
     """The list can't be read; the message says what to correct."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KnownRed:
+class KnownFailure:
     """One test that is known to fail.
 
     Attributes:
@@ -34,7 +34,7 @@
     issue: str
 
 
-def parse(text: str) -> tuple[KnownRed, ...]:
+def parse(text: str) -> tuple[KnownFailure, ...]:
     """Returns the entries of a list.
 
     Entries are separated by empty lines. Each has the fields `test`,
@@ -54,18 +54,20 @@
     return tuple(entries)
 
 
-def _entry(lines: list[str]) -> KnownRed:
+def _entry(lines: list[str]) -> KnownFailure:
     fields: dict[str, str] = {}
     for line in lines:
         name, _, value = line.partition(":")
         name, value = name.strip(), value.strip()
         if name not in _FIELDS or name in fields or not value:
-            raise BadList(f"{line!r}: write each of {_FIELDS} once, with text")
+            raise InvalidListError(
+                f"{line!r}: write each of {_FIELDS} once, with text"
+            )
         fields[name] = value
     missing = [name for name in _FIELDS if name not in fields]
     if missing:
-        raise BadList(f"{lines[0]!r}: add the fields {missing}")
-    return KnownRed(**fields)
+        raise InvalidListError(f"{lines[0]!r}: add the fields {missing}")
+    return KnownFailure(**fields)
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
@@ -77,7 +79,7 @@
     )
 
 
-def _listed(config: pytest.Config) -> tuple[KnownRed, ...]:
+def _listed(config: pytest.Config) -> tuple[KnownFailure, ...]:
     path = config.getoption("--known-red")
     if path is None or not path.exists():
         return ()
@@ -95,7 +97,7 @@
     """
     try:
         listed = {entry.test for entry in _listed(config)}
-    except BadList as error:
+    except InvalidListError as error:
         raise pytest.UsageError(str(error)) from error
     unknown = listed - {item.nodeid for item in items}
     if unknown:
--- a/sesamecross/devtools/known_red_test.py
+++ b/sesamecross/devtools/known_red_test.py
@@ -79,12 +79,12 @@
     ],
 )
 def test_a_list_that_cannot_be_read_is_an_error(text, said):
-    with pytest.raises(known_red.BadList, match=None) as raised:
+    with pytest.raises(known_red.InvalidListError, match=None) as raised:
         known_red.parse(text)
     assert said in str(raised.value)
 
 
 def test_entries_are_read_whole():
     assert known_red.parse(ENTRY.format(test="x")) == (
-        known_red.KnownRed("x", "python -m pytest x", "it fails.", "16"),
+        known_red.KnownFailure("x", "python -m pytest x", "it fails.", "16"),
     )
--- a/sesamecross/devtools/load.py
+++ b/sesamecross/devtools/load.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Kind:
+class CallKind:
     """One kind of calls in the mix.
 
     Attributes:
@@ -36,8 +36,8 @@
     prefix_tokens: int
     own_tokens: int
     answer_tokens: int
-    first_ms: float
-    between_ms: float
+    first_token_ms: float
+    between_tokens_ms: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
     """One call of the schedule."""
 
     at_s: float
-    kind: Kind
+    kind: CallKind
     model: str
     prompt: str
     entry: int
@@ -67,25 +67,25 @@
 
     arrival: Arrival
     status: int
-    first_ms: float
-    between_ms: float
+    first_token_ms: float
+    between_tokens_ms: float
     tokens: int
-    whole: bool
+    is_complete: bool
     executed: str
 
     @property
-    def kept(self) -> bool:
+    def meets_promise(self) -> bool:
         """Whether the promise of its kind was kept."""
         kind = self.arrival.kind
         return (
-            self.whole
-            and self.first_ms <= kind.first_ms
-            and self.between_ms <= kind.between_ms
+            self.is_complete
+            and self.first_token_ms <= kind.first_token_ms
+            and self.between_tokens_ms <= kind.between_tokens_ms
         )
 
 
 def schedule(
-    kinds: tuple[Kind, ...],
+    kinds: tuple[CallKind, ...],
     phases: tuple[Phase, ...],
     entries: int,
     seed: int,
@@ -121,7 +121,7 @@
     return rng.choices(names, weights)[0]
 
 
-def _prompt(rng: random.Random, kind: Kind, seed: int) -> str:
+def _prompt(rng: random.Random, kind: CallKind, seed: int) -> str:
     prefix = rng.randrange(kind.prefixes)
     shared = f"{kind.name} {seed} {prefix} ".ljust(16, ".")
     own = f"{rng.random():.12f} "
@@ -130,7 +130,7 @@
     )
 
 
-class Load:
+class LoadGenerator:
     """Sends a schedule to entries and collects what became of it."""
 
     def __init__(self, urls: list[str], key: str, threads: int = 400):
@@ -234,15 +234,15 @@
 
 def _figures(results: list[Result], seconds: float) -> dict:
     first = histogram.HdrHistogram(1, _MOST_MS, 2)
-    answered = [r for r in results if r.whole]
+    answered = [r for r in results if r.is_complete]
     for result in answered:
-        first.record_value(max(1, int(result.first_ms)))
-    kept = sum(result.kept for result in results)
+        first.record_value(max(1, int(result.first_token_ms)))
+    meets_promise = sum(result.meets_promise for result in results)
     refused = sum(result.status in (429, 503) for result in results)
     return {
         "calls": len(results),
-        "attained": round(kept / max(1, len(results)), 4),
-        "kept_per_s": round(kept / seconds, 2),
+        "attained": round(meets_promise / max(1, len(results)), 4),
+        "kept_per_s": round(meets_promise / seconds, 2),
         "answered": len(answered),
         "refused": refused,
         "failed": len(results) - len(answered) - refused,
--- a/sesamecross/devtools/processes.py
+++ b/sesamecross/devtools/processes.py
@@ -16,11 +16,11 @@
 
 import urllib3
 
-STOP_S = 20.0
-READY_S = 25.0
+STOP_TIMEOUT_S = 20.0
+READY_TIMEOUT_S = 25.0
 
 
-class NotReady(Exception):
+class NotReadyError(Exception):
     """A process did not become ready in time."""
 
 
@@ -95,7 +95,7 @@
         if self.is_running():
             self.popen.kill()
 
-    def wait(self, timeout_s: float = STOP_S) -> int | None:
+    def wait(self, timeout_s: float = STOP_TIMEOUT_S) -> int | None:
         """Returns the exit code, or None if it did not end in time."""
         try:
             return self.popen.wait(timeout_s)
@@ -130,7 +130,7 @@
 def wait_for(
     holds: Callable[[], bool],
     what: str,
-    timeout_s: float = READY_S,
+    timeout_s: float = READY_TIMEOUT_S,
     pause_s: float = 0.1,
 ) -> None:
     """Waits until `holds` is true, and looks again after each pause.
@@ -141,11 +141,11 @@
     until = time.monotonic() + timeout_s
     while not holds():
         if time.monotonic() > until:
-            raise NotReady(f"{what}: not within {timeout_s} s")
+            raise NotReadyError(f"{what}: not within {timeout_s} s")
         time.sleep(pause_s)
 
 
-def wait_http(url: str, timeout_s: float = READY_S) -> None:
+def wait_http(url: str, timeout_s: float = READY_TIMEOUT_S) -> None:
     """Waits until `url` answers 200.
 
     Raises:
@@ -159,4 +159,4 @@
         except urllib3.exceptions.HTTPError:
             pass
         time.sleep(0.05)
-    raise NotReady(f"{url} did not answer 200 within {timeout_s} s")
+    raise NotReadyError(f"{url} did not answer 200 within {timeout_s} s")
--- a/sesamecross/devtools/relay_bench.py
+++ b/sesamecross/devtools/relay_bench.py
@@ -40,8 +40,8 @@
 class Sample:
     """One call's times in milliseconds."""
 
-    first_ms: float
-    between_ms: float
+    first_token_ms: float
+    between_tokens_ms: float
     tokens: int
 
 
@@ -96,10 +96,10 @@
 
 
 def run(
-    runner: runner_lib.Runner, work: pathlib.Path, streams: int, rounds: int
+    runner: runner_lib.Runner, work_dir: pathlib.Path, streams: int, rounds: int
 ) -> dict:
     """Measures and returns the figures."""
-    shape = deployment_lib.Shape(
+    spec = deployment_lib.DeploymentSpec(
         demo.EXAMPLE,
         entries_per_zone=1,
         engine_flags=ENGINE_FLAGS,
@@ -107,10 +107,10 @@
         extra=EXTRA,
         entry_settings={"threads": 256},
     )
-    deployment = runner.deployment(shape, work)
+    deployment = runner.deployment(spec, work_dir)
     deployment.start_fakes()
     deployment.start_instances()
-    demo.Operator(deployment).run("publish", str(deployment.config_dir))
+    demo.OperatorCli(deployment).run("publish", str(deployment.config_dir))
     deployment.wait_ready()
     _wait_replicas(deployment)
     return _measure(deployment, streams, rounds)
@@ -150,21 +150,21 @@
         cpu_s = wall_s = 0.0
         for _ in range(rounds):
             direct += _run(engines, count, count * 3, 50)
-            before = usage.of(entry.pid).cpu_s
+            before = usage.read_usage(entry.pid).cpu_s
             began = time.monotonic()
             relayed += _run([instance.entry_url], count, count * 3, 50)
             wall_s += time.monotonic() - began
-            cpu_s += usage.of(entry.pid).cpu_s - before
+            cpu_s += usage.read_usage(entry.pid).cpu_s - before
         results[label] = _figures(direct, relayed, cpu_s, wall_s)
     for name, process in (("entry", entry), ("steward", steward)):
-        used = usage.of(process.pid)
+        used = usage.read_usage(process.pid)
         results[name] = {
             "resident_mib": round(used.resident_mib, 1),
             "private_mib": round(used.private_mib, 1),
         }
-    before = usage.of(steward.pid).cpu_s
+    before = usage.read_usage(steward.pid).cpu_s
     time.sleep(5)
-    idle = (usage.of(steward.pid).cpu_s - before) / 5
+    idle = (usage.read_usage(steward.pid).cpu_s - before) / 5
     results["steward"]["idle_core_percent"] = round(100 * idle, 2)
     return results
 
@@ -176,8 +176,8 @@
     wall_s: float,
 ) -> dict:
     tokens = sum(sample.tokens for sample in relayed)
-    first_direct = [sample.first_ms for sample in direct]
-    first_relayed = [sample.first_ms for sample in relayed]
+    first_direct = [sample.first_token_ms for sample in direct]
+    first_relayed = [sample.first_token_ms for sample in relayed]
     return {
         "calls": len(relayed),
         "first_ms_direct_median": round(statistics.median(first_direct), 2),
@@ -185,10 +185,10 @@
         "first_ms_direct_p99": round(_percentile(first_direct, 0.99), 2),
         "first_ms_relayed_p99": round(_percentile(first_relayed, 0.99), 2),
         "between_ms_direct": round(
-            statistics.median(s.between_ms for s in direct), 2
+            statistics.median(s.between_tokens_ms for s in direct), 2
         ),
         "between_ms_relayed": round(
-            statistics.median(s.between_ms for s in relayed), 2
+            statistics.median(s.between_tokens_ms for s in relayed), 2
         ),
         "tokens_per_s": round(tokens / wall_s),
         "core_percent": round(100 * cpu_s / wall_s, 1),
@@ -196,11 +196,11 @@
     }
 
 
-def main(work: pathlib.Path, streams: int, rounds: int) -> int:
+def main(work_dir: pathlib.Path, streams: int, rounds: int) -> int:
     """Measures and prints; returns the exit code."""
 
     def tool(runner: runner_lib.Runner) -> int:
-        print(json.dumps(run(runner, work, streams, rounds), indent=2))
+        print(json.dumps(run(runner, work_dir, streams, rounds), indent=2))
         return 0
 
     return runner_lib.Runner().run(tool)
--- a/sesamecross/devtools/runner.py
+++ b/sesamecross/devtools/runner.py
@@ -21,10 +21,10 @@
 from sesamecross.runtime import signals
 
 # A shell's code for "ended by signal n".
-SIGNAL_CODE = 128
+SIGNAL_EXIT_BASE = 128
 
 
-class StopAsked(BaseException):
+class StopRequested(BaseException):
     """A signal asks the tool to stop. No `except Exception` takes it."""
 
     def __init__(self, number: int):
@@ -54,17 +54,17 @@
                 return tool(self)
             finally:
                 self._stop_all()
-        except StopAsked as asked:
+        except StopRequested as asked:
             # It may have come in the stop above, before anything held it.
             # There is no second one, so this stop goes to its end.
             self._stop_all()
-            return SIGNAL_CODE + asked.number
+            return SIGNAL_EXIT_BASE + asked.number
 
     def deployment(
-        self, shape: deployment_lib.Shape, work: pathlib.Path
+        self, spec: deployment_lib.DeploymentSpec, work_dir: pathlib.Path
     ) -> deployment_lib.Deployment:
         """Returns a deployment that is stopped with the tool at the latest."""
-        one = deployment_lib.Deployment(shape, work, self._held)
+        one = deployment_lib.Deployment(spec, work_dir, self._defer_signals)
         self._deployments.append(one)
         return one
 
@@ -78,10 +78,10 @@
             return
         self._asked = number
         if not self._holds:
-            raise StopAsked(number)
+            raise StopRequested(number)
 
     @contextlib.contextmanager
-    def _held(self) -> Iterator[None]:
+    def _defer_signals(self) -> Iterator[None]:
         """Keeps a signal back until what is inside is whole."""
         was_asked = self._asked is not None
         self._holds += 1
@@ -90,4 +90,4 @@
         finally:
             self._holds -= 1
         if self._asked is not None and not was_asked and not self._holds:
-            raise StopAsked(self._asked)
+            raise StopRequested(self._asked)
--- a/sesamecross/devtools/usage.py
+++ b/sesamecross/devtools/usage.py
@@ -21,7 +21,7 @@
     private_mib: float
 
 
-def of(pid: int) -> Usage:
+def read_usage(pid: int) -> Usage:
     """Returns the usage of a running process."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as stat:
         fields = stat.read().rpartition(")")[2].split()
--- a/sesamecross/scripts/experiment.py
+++ b/sesamecross/scripts/experiment.py
@@ -10,7 +10,7 @@
 def main() -> int:
     """Returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("scene", choices=sorted(experiment.SCENES))
+    parser.add_argument("scene", choices=sorted(experiment.SCENARIOS))
     parser.add_argument("--policy", action="append")
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument(
--- a/tests/agreement_test.py
+++ b/tests/agreement_test.py
@@ -8,7 +8,9 @@
 
 
 def versions(deployment):
-    document = json.loads(demo.Operator(deployment).run("status", "--json")[1])
+    document = json.loads(
+        demo.OperatorCli(deployment).run("status", "--json")[1]
+    )
     return {
         name: one.get("entry_version")
         for name, one in document["instances"].items()
@@ -18,7 +20,7 @@
 def publish(deployment, text, *flags):
     path = deployment.config_dir / "97-change.toml"
     path.write_text(text)
-    code, out = demo.Operator(deployment).run(
+    code, out = demo.OperatorCli(deployment).run(
         "publish", str(deployment.config_dir), "--json", *flags
     )
     return code, document_in(out)
@@ -29,10 +31,10 @@
     return json.loads(out[out.index("{") :])
 
 
-def test_an_instance_starts_while_the_log_is_down(fresh):
+def test_an_instance_starts_while_the_log_is_down(new_deployment):
     # C3: the log is down and an instance is replaced. It takes the state
     # from a peer and serves with the configuration in force.
-    one = fresh()
+    one = new_deployment()
     instance = one.instances[0]
     for role in ("steward", "entry"):
         one.processes[f"{role}-{instance.name}"].kill()
@@ -46,11 +48,11 @@
     assert status == 200
 
 
-def test_an_instance_starts_behind_expired_records(fresh):
+def test_an_instance_starts_behind_expired_records(new_deployment):
     # C4: the log has expired the first records, the configuration among
     # them. A snapshot was appended ahead of that, and an instance that
     # starts alone with the log comes to the same version.
-    one = fresh(steward_settings={"snapshot_records": 50})
+    one = new_deployment(steward_settings={"snapshot_records": 50})
     before = versions(one)
     until = time.monotonic() + 30
     while not any(
@@ -71,12 +73,12 @@
         time.sleep(0.2)
 
 
-def test_racing_publishes_and_a_lost_answer(fresh):
+def test_racing_publishes_and_a_lost_answer(new_deployment):
     # C1 and C2: of two changes from one base one is accepted and the other
     # is told who was first; a change whose answer was lost counts once.
-    one = fresh()
+    one = new_deployment()
     base = str(
-        json.loads(demo.Operator(one).run("status", "--json")[1])["version"]
+        json.loads(demo.OperatorCli(one).run("status", "--json")[1])["version"]
     )
     code, document = publish(one, "[weights]\nmoves = 3.0\n", "--base", base)
     assert (code, document["outcome"]) == (0, "accepted")
@@ -91,9 +93,9 @@
     assert set(versions(one).values()) == {version}
 
 
-def test_rollback_is_a_new_version_with_old_content(fresh):
-    one = fresh()
-    operator = demo.Operator(one)
+def test_rollback_is_a_new_version_with_old_content(new_deployment):
+    one = new_deployment()
+    operator = demo.OperatorCli(one)
     publish(one, "[weights]\nmoves = 3.0\n")
     code, text = operator.run("rollback", "1", "--wait", "--json")
     assert (code, document_in(text)["version"]) == (0, 3)
--- a/tests/calls_test.py
+++ b/tests/calls_test.py
@@ -48,8 +48,8 @@
 @pytest.fixture(scope="module")
 def pair(tmp_path_factory):
     """A deployment in which one model has two replicas."""
-    one = conftest.start(
-        conftest.shape(extra=TWO_REPLICAS), tmp_path_factory.mktemp("pair")
+    one = conftest.start_deployment(
+        conftest.small_spec(extra=TWO_REPLICAS), tmp_path_factory.mktemp("pair")
     )
     until = time.monotonic() + 20
     while len(holders(one)) < 2:
@@ -92,10 +92,10 @@
     assert body.endswith(b"data: [DONE]\n\n")
 
 
-def test_an_engine_killed_before_the_first_byte(fresh):
+def test_an_engine_killed_before_the_first_byte(new_deployment):
     # R6: the engine is gone when the call arrives; nothing ran, so another
     # replica answers and nobody notices.
-    one = fresh(extra=TWO_REPLICAS)
+    one = new_deployment(extra=TWO_REPLICAS)
     until = time.monotonic() + 20
     while len(holders(one)) < 2:
         assert time.monotonic() < until
@@ -157,7 +157,7 @@
 def test_a_drained_engine_gets_no_new_work_and_finishes_the_old(pair):
     # An operator drains an engine while it answers a call.
     name = holders(pair)[0]
-    operator = demo.Operator(pair)
+    operator = demo.OperatorCli(pair)
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
         old = [
             pool.submit(
@@ -250,10 +250,10 @@
             raw.close()
 
 
-def test_a_planned_stop_of_an_entry_cuts_off_nothing(fresh):
+def test_a_planned_stop_of_an_entry_cuts_off_nothing(new_deployment):
     # L2: an entry is stopped while it streams. Readiness fails first; the
     # open answer comes to its end; the exit code is 0.
-    one = fresh()
+    one = new_deployment()
     instance = one.instances[0]
     entry = one.processes[f"entry-{instance.name}"]
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
@@ -270,9 +270,9 @@
     assert entry.wait() == 0
 
 
-def test_a_second_interrupt_ends_an_entry_at_once(fresh):
+def test_a_second_interrupt_ends_an_entry_at_once(new_deployment):
     # L3: somebody at a terminal wants the process gone now.
-    one = fresh()
+    one = new_deployment()
     instance = one.instances[0]
     entry = one.processes[f"entry-{instance.name}"]
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
@@ -288,10 +288,12 @@
             call.result()
 
 
-def test_an_entry_that_is_asked_to_stop_twice_finishes_its_calls(fresh):
+def test_an_entry_that_is_asked_to_stop_twice_finishes_its_calls(
+    new_deployment,
+):
     # The platform and an operator asked for the same stop; the second SIGTERM
     # ended the entry with code 3 and cut its callers' answers off.
-    one = fresh()
+    one = new_deployment()
     instance = one.instances[0]
     entry = one.processes[f"entry-{instance.name}"]
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
@@ -307,10 +309,10 @@
     assert entry.wait() == 0
 
 
-def test_an_entry_serves_on_its_last_view_without_its_steward(fresh):
+def test_an_entry_serves_on_its_last_view_without_its_steward(new_deployment):
     # The steward is killed. Calls to models go on; a call that needs a
     # claim is refused, and nothing false is said of it.
-    one = fresh()
+    one = new_deployment()
     instance = one.instances[0]
     one.processes[f"steward-{instance.name}"].kill()
     time.sleep(0.5)
@@ -318,4 +320,4 @@
     assert (status, numbers(body)) == (200, [1, 2, 3, 4])
     status, body = demo.Caller().order(instance.entry_url, "nobody")
     assert (status, json.loads(body)["executed"]) == (503, "unknown")
-    assert demo.order_runs(one, "nobody") == 0
+    assert demo.count_order_runs(one, "nobody") == 0
--- a/tests/claims_test.py
+++ b/tests/claims_test.py
@@ -42,11 +42,11 @@
     processes.post_json(f"{deployment.log_url}/fake/faults", faults)
 
 
-def test_orders_go_on_through_a_log_outage_while_stewards_die(fresh):
+def test_orders_go_on_through_a_log_outage_while_stewards_die(new_deployment):
     # R4: the log is down for long. The home zone's stewards decide, a
     # witness in another zone keeps what they decide. Then one of the two
     # stewards is killed, and orders still go on, none of them twice.
-    one = fresh(entries_per_zone=2)
+    one = new_deployment(entries_per_zone=2)
     settle_groups(one)
     caller = demo.Caller()
     home, beside, far = one.instances[0], one.instances[1], one.instances[-1]
@@ -59,14 +59,14 @@
     order_until(caller, far.entry_url, "k1", 200)
     set_log(one, outage=False)
     order_until(caller, far.entry_url, "k3", 200)
-    runs = {k: demo.order_runs(one, k) for k in ("k1", "k2", "k3")}
+    runs = {k: demo.count_order_runs(one, k) for k in ("k1", "k2", "k3")}
     assert runs == {"k1": 1, "k2": 1, "k3": 1}
 
 
-def test_a_frozen_steward_is_left_behind_and_wakes_without_harm(fresh):
+def test_a_frozen_steward_is_left_behind_and_wakes_without_harm(new_deployment):
     # R15: the leader of the zone's group is frozen. The other goes on in a
     # new epoch; the frozen one wakes and learns that it has been replaced.
-    one = fresh(entries_per_zone=2)
+    one = new_deployment(entries_per_zone=2)
     settle_groups(one)
     caller = demo.Caller()
     frozen = one.processes[f"steward-{one.instances[0].name}"]
@@ -78,14 +78,18 @@
         frozen.popen.send_signal(signal.SIGCONT)
     order_until(caller, one.instances[0].entry_url, "f1", 200)
     order_until(caller, one.instances[0].entry_url, "f2", 200)
-    assert demo.order_runs(one, "f1") == demo.order_runs(one, "f2") == 1
+    assert (
+        demo.count_order_runs(one, "f1")
+        == demo.count_order_runs(one, "f2")
+        == 1
+    )
 
 
-def test_the_home_zone_dies_whole_and_others_take_over(fresh):
+def test_the_home_zone_dies_whole_and_others_take_over(new_deployment):
     # Both stewards of the callers' home zone are killed in fair weather.
     # They died in contact, so nothing can have been claimed in the dark:
     # another zone takes over without an operator.
-    one = fresh(entries_per_zone=2)
+    one = new_deployment(entries_per_zone=2)
     settle_groups(one)
     caller = demo.Caller()
     order_until(caller, one.instances[0].entry_url, "d1", 200)
@@ -97,13 +101,19 @@
     far = one.instances[-1].entry_url
     order_until(caller, far, "d2", 200, 30.0)
     order_until(caller, far, "d1", 200)
-    assert demo.order_runs(one, "d1") == demo.order_runs(one, "d2") == 1
+    assert (
+        demo.count_order_runs(one, "d1")
+        == demo.count_order_runs(one, "d2")
+        == 1
+    )
 
 
-def test_an_entry_dies_with_a_claimed_call(fresh):
+def test_an_entry_dies_with_a_claimed_call(new_deployment):
     # R2: the entry is killed while the service works on the order. Nobody
     # knows the outcome; a repeated order is told so and never runs again.
-    one = fresh(entries_per_zone=2, service_flags=("--work-ms", "3000"))
+    one = new_deployment(
+        entries_per_zone=2, service_flags=("--work-ms", "3000")
+    )
     settle_groups(one)
     caller = demo.Caller()
     first = one.instances[0]
@@ -118,7 +128,7 @@
 
     thread = threading.Thread(target=send)
     thread.start()
-    while demo.order_runs(one, "e1") == 0:
+    while demo.count_order_runs(one, "e1") == 0:
         time.sleep(0.05)
     one.processes[f"entry-{first.name}"].kill()
     thread.join()
@@ -133,4 +143,4 @@
     assert lost
     assert refusals[-1]["type"].endswith("outcome-unknown")
     assert {r["executed"] for r in refusals} == {"unknown"}
-    assert demo.order_runs(one, "e1") == 1
+    assert demo.count_order_runs(one, "e1") == 1
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,17 +11,17 @@
 
 # The tests wait for residency, not for a slow store: limits that the store's
 # fake and the declarations share.
-FAST_STORE = ("--loads-per-second", "100", "--load-s", "0.02")
-FAST = {"store": {"loads_per_second": 100, "full_speed_loads": 20}}
+FAST_STORE_FLAGS = ("--loads-per-second", "100", "--load-s", "0.02")
+FAST_STORE_LIMITS = {"store": {"loads_per_second": 100, "full_speed_loads": 20}}
 
 
-def start(shape, work):
+def start_deployment(small_spec, work_dir):
     """Starts a deployment on the published configuration."""
-    one = deployment_lib.Deployment(shape, work)
+    one = deployment_lib.Deployment(small_spec, work_dir)
     try:
         one.start_fakes()
         one.start_instances()
-        code, text = demo.Operator(one).run("publish", str(one.config_dir))
+        code, text = demo.OperatorCli(one).run("publish", str(one.config_dir))
         assert code == 0, text
         one.wait_ready()
         one.wait_resident(set(one.declared.models))
@@ -31,33 +31,35 @@
     return one
 
 
-def shape(**changes):
+def small_spec(**changes):
     """Returns the small shape that most tests use."""
     settings = {
         "example": EXAMPLES / "namib",
         "entries_per_zone": 1,
-        "store_flags": FAST_STORE,
-        "extra": FAST,
+        "store_flags": FAST_STORE_FLAGS,
+        "extra": FAST_STORE_LIMITS,
     }
-    return deployment_lib.Shape(**(settings | changes))
+    return deployment_lib.DeploymentSpec(**(settings | changes))
 
 
 @pytest.fixture(scope="session")
-def shared(tmp_path_factory):
+def shared_deployment(tmp_path_factory):
     """A deployment that tests must leave as they found it."""
-    one = start(shape(), tmp_path_factory.mktemp("shared"))
+    one = start_deployment(small_spec(), tmp_path_factory.mktemp("shared"))
     yield one
     codes = one.stop()
     assert set(codes.values()) == {0}
 
 
 @pytest.fixture
-def fresh(tmp_path):
+def new_deployment(tmp_path):
     """Returns a function that starts a deployment of a test's own."""
     started = []
 
     def begin(**changes):
-        one = start(shape(**changes), tmp_path / f"d{len(started)}")
+        one = start_deployment(
+            small_spec(**changes), tmp_path / f"d{len(started)}"
+        )
         started.append(one)
         return one
 
--- a/tests/path_test.py
+++ b/tests/path_test.py
@@ -24,8 +24,8 @@
     return [{"role": "user", "content": text}]
 
 
-def test_stock_client_streams_through_an_entry(shared):
-    stream = client(shared).chat.completions.create(
+def test_stock_client_streams_through_an_entry(shared_deployment):
+    stream = client(shared_deployment).chat.completions.create(
         model=MODEL, messages=messages(), max_tokens=20, stream=True
     )
     text = "".join(chunk.choices[0].delta.content or "" for chunk in stream)
@@ -34,12 +34,12 @@
 
 
 @pytest.mark.parametrize("model", [MODEL, "advice-fade-a01"])
-def test_stock_client_gets_whole_answers(shared, model):
-    shared.wait_resident({model})
+def test_stock_client_gets_whole_answers(shared_deployment, model):
+    shared_deployment.wait_resident({model})
     deadline = time.monotonic() + 10
     while True:
         try:
-            answer = client(shared).chat.completions.create(
+            answer = client(shared_deployment).chat.completions.create(
                 model=model, messages=messages(), max_tokens=5
             )
             break
@@ -52,8 +52,8 @@
     assert answer.choices[0].finish_reason == "length"
 
 
-def test_stock_client_completions_and_usage(shared):
-    stream = client(shared).completions.create(
+def test_stock_client_completions_and_usage(shared_deployment):
+    stream = client(shared_deployment).completions.create(
         model=MODEL,
         prompt="a tonic",
         max_tokens=4,
@@ -65,10 +65,12 @@
     assert sum(bool(c.choices and c.choices[0].text) for c in chunks) == 4
 
 
-def test_models_lists_only_what_the_caller_may_use(shared):
-    names = {model.id for model in client(shared).models.list()}
-    assert names == set(shared.declared.models) | set(shared.declared.adapters)
-    other = client(shared, key=deployment_lib.OTHER_CALLER_KEY)
+def test_models_lists_only_what_the_caller_may_use(shared_deployment):
+    names = {model.id for model in client(shared_deployment).models.list()}
+    assert names == set(shared_deployment.declared.models) | set(
+        shared_deployment.declared.adapters
+    )
+    other = client(shared_deployment, key=deployment_lib.OTHER_CALLER_KEY)
     assert [model.id for model in other.models.list()] == []
 
 
@@ -86,11 +88,11 @@
     ("story", "headers", "model", "status", "slug"), REFUSED
 )
 def test_refusals_are_typed_and_truthful(
-    shared, story, headers, model, status, slug
+    shared_deployment, story, headers, model, status, slug
 ):
     response = urllib3.request(
         "POST",
-        f"{shared.instances[0].entry_url}/v1/chat/completions",
+        f"{shared_deployment.instances[0].entry_url}/v1/chat/completions",
         json={"model": model, "messages": messages()},
         headers=headers,
     )
@@ -102,50 +104,53 @@
     assert document["detail"] and document["correlation_id"]
 
 
-def test_a_doubled_order_at_two_entries_runs_once(shared):
+def test_a_doubled_order_at_two_entries_runs_once(shared_deployment):
     # R1: a depot's client gets no answer in time and sends the order again,
     # through the balancer, to another entry at the same moment.
     caller = demo.Caller()
-    places = [shared.instances[0], shared.instances[2]] * 4
+    places = [
+        shared_deployment.instances[0],
+        shared_deployment.instances[2],
+    ] * 4
     with concurrent.futures.ThreadPoolExecutor(len(places)) as pool:
         answers = list(
             pool.map(lambda i: caller.order(i.entry_url, "twice"), places)
         )
-    assert demo.order_runs(shared, "twice") == 1
+    assert demo.count_order_runs(shared_deployment, "twice") == 1
     assert {status for status, _ in answers} == {200}
     assert len({body for _, body in answers}) == 1
 
 
-def test_a_key_of_another_call_is_refused(shared):
+def test_a_key_of_another_call_is_refused(shared_deployment):
     caller = demo.Caller()
-    url = shared.instances[0].entry_url
+    url = shared_deployment.instances[0].entry_url
     assert caller.order(url, "reused")[0] == 200
     status, body = caller.order(url, "reused", demo.ORDER_PATH + "/other")
     assert (status, json.loads(body)["type"][-10:]) == (422, "key-reused")
 
 
-def test_one_key_of_two_callers_are_two_calls(shared):
-    url = shared.instances[0].entry_url
+def test_one_key_of_two_callers_are_two_calls(shared_deployment):
+    url = shared_deployment.instances[0].entry_url
     for key in (deployment_lib.CALLER_KEY, deployment_lib.OTHER_CALLER_KEY):
         assert demo.Caller(key).order(url, "both")[0] == 200
-    assert demo.order_runs(shared, "both") == 2
+    assert demo.count_order_runs(shared_deployment, "both") == 2
 
 
-def test_calls_that_may_be_repeated_need_no_key(shared):
+def test_calls_that_may_be_repeated_need_no_key(shared_deployment):
     response = urllib3.request(
         "GET",
-        f"{shared.instances[0].entry_url}/services/orders/stock?blade=7",
+        f"{shared_deployment.instances[0].entry_url}/services/orders/stock?blade=7",
         headers={"Authorization": f"Bearer {deployment_lib.CALLER_KEY}"},
     )
     assert response.status == 200
     assert response.json()["path"] == "/stock"
 
 
-def test_one_calls_story_is_on_the_time_line(shared):
+def test_one_calls_story_is_on_the_time_line(shared_deployment):
     _, _, call_id = demo.Caller().chat(
-        shared.instances[0].entry_url, MODEL, "story", 3
+        shared_deployment.instances[0].entry_url, MODEL, "story", 3
     )
-    code, text = demo.Operator(shared).run(
+    code, text = demo.OperatorCli(shared_deployment).run(
         "timeline", "--call", call_id, "--json"
     )
     kinds = [event["kind"] for event in json.loads(text)["events"]]
@@ -154,40 +159,46 @@
 
 
 @pytest.mark.parametrize("form", ["text", "jsonl", "trace", "html"])
-def test_the_time_line_has_every_process_in_each_form(shared, tmp_path, form):
+def test_the_time_line_has_every_process_in_each_form(
+    shared_deployment, tmp_path, form
+):
     path = tmp_path / "line"
-    code, _ = demo.Operator(shared).run(
+    code, _ = demo.OperatorCli(shared_deployment).run(
         "timeline", "--format", form, "--output", str(path)
     )
     text = path.read_text()
     assert code == 0
-    for instance in shared.instances:
+    for instance in shared_deployment.instances:
         assert f"entry/{instance.name}" in text
         assert f"steward/{instance.name}" in text
 
 
-def test_status_shows_every_instance_and_upstream(shared):
-    code, text = demo.Operator(shared).run("status", "--json")
+def test_status_shows_every_instance_and_upstream(shared_deployment):
+    code, text = demo.OperatorCli(shared_deployment).run("status", "--json")
     document = json.loads(text)
     assert code == 0
-    assert set(document["instances"]) == {i.name for i in shared.instances}
-    assert set(document["upstreams"]) == set(shared.engine_urls)
+    assert set(document["instances"]) == {
+        i.name for i in shared_deployment.instances
+    }
+    assert set(document["upstreams"]) == set(shared_deployment.engine_urls)
     assert document["version"] >= 1
     assert document["shortfalls"] == []
 
 
-def test_a_missing_process_is_named(shared):
-    operator = demo.Operator(shared)
+def test_a_missing_process_is_named(shared_deployment):
+    operator = demo.OperatorCli(shared_deployment)
     code, text = operator.run("status", "--steward", "127.0.0.1:1", "--json")
     missing = json.loads(text)["instances"]["127.0.0.1:1"]
     assert (code, missing["state"]) == (6, "missing")
 
 
-def test_a_bad_folder_is_refused_and_changes_nothing(shared, tmp_path):
+def test_a_bad_folder_is_refused_and_changes_nothing(
+    shared_deployment, tmp_path
+):
     # C7: the folder of an operator has mistakes in two files.
     (tmp_path / "1.toml").write_text("[models.x]\nmemry_mib = 3\n")
     (tmp_path / "2.toml").write_text('[zones.z]\nregion = "nowhere"\n')
-    operator = demo.Operator(shared)
+    operator = demo.OperatorCli(shared_deployment)
     before = json.loads(operator.run("status", "--json")[1])["version"]
     for command in ("check", "publish"):
         code, text = operator.run(command, str(tmp_path))
@@ -198,17 +209,23 @@
     assert after == before
 
 
-def test_metrics_of_every_process(shared):
-    urls = [i.entry_url for i in shared.instances]
-    urls += [f"http://{i.steward_http}" for i in shared.instances]
-    urls += [*shared.engine_urls.values(), shared.log_url, shared.store_url]
+def test_metrics_of_every_process(shared_deployment):
+    urls = [i.entry_url for i in shared_deployment.instances]
+    urls += [
+        f"http://{i.steward_http_address}" for i in shared_deployment.instances
+    ]
+    urls += [
+        *shared_deployment.engine_urls.values(),
+        shared_deployment.log_url,
+        shared_deployment.store_url,
+    ]
     for url in urls:
         text = urllib3.request("GET", f"{url}/metrics").data.decode()
         assert "# TYPE" in text
 
 
-def test_peak_memory_is_within_capacity_at_every_engine(shared):
-    for url in shared.engine_urls.values():
+def test_peak_memory_is_within_capacity_at_every_engine(shared_deployment):
+    for url in shared_deployment.engine_urls.values():
         stats = deployment_lib.processes.get_json(f"{url}/fake/stats")
         assert 0 < stats["peak_bytes"] <= stats["capacity_bytes"]
         assert stats["overcommit_attempts"] == 0
@@ -232,10 +249,10 @@
 
 @pytest.mark.parametrize(("blob", "status"), RAW)
 def test_malformed_and_oversized_requests_get_clear_errors(
-    shared, blob, status
+    shared_deployment, blob, status
 ):
     # R13: smuggling, oversized heads and bodies.
-    host, port = shared.instances[0].entry_address.split(":")
+    host, port = shared_deployment.instances[0].entry_address.split(":")
     with socket.create_connection((host, int(port)), timeout=10) as raw:
         raw.sendall(blob + b"\r\n\r\n")
         answer = raw.recv(1000)
--- a/tests/planned_events_test.py
+++ b/tests/planned_events_test.py
@@ -325,7 +325,7 @@
 
 def hold(site: platform_site.PlatformSite) -> None:
     """Lets the time pass in which a stop ends, if nothing keeps it."""
-    with contextlib.suppress(processes.NotReady):
+    with contextlib.suppress(processes.NotReadyError):
         processes.wait_for(
             lambda: not site.gateway.is_running, "the process ends", HELD_S
         )
@@ -338,7 +338,7 @@
     not_noticed = ""
     try:
         event.happens(site)
-    except (platform_instance.ProcessEnded, processes.NotReady) as error:
+    except (platform_instance.ProcessEnded, processes.NotReadyError) as error:
         not_noticed = str(error)
     seen = under_way.finish(event.ends)
     exit_code = None
