--- a/sesamecross/steward/app.py
+++ b/sesamecross/steward/app.py
@@ -37,7 +37,7 @@
 from sesamecross.steward import snapshotter as snapshotter_lib
 from sesamecross.steward import view_sender as view_sender_lib
 
-LEAVE_WAIT_S = 3.0
+LEAVE_TIMEOUT_S = 3.0
 HANDOVER_TIMEOUT_S = 5.0
 
 
@@ -63,7 +63,7 @@
         self.metrics = metrics_lib.Metrics()
         self._rng = random.Random(os.urandom(8))
         self.replica = local_replica_lib.LocalReplica(self.recorder)
-        self.replica.listen(self._on_event)
+        self.replica.add_listener(self._on_event)
 
     @classmethod
     def from_settings(
@@ -214,7 +214,7 @@
         await self.placement_controller.stop()
         await self.lease.stop()
         if self.reader.reachable:
-            handed_over = await self.claim_group_manager.handed_over(
+            handed_over = await self.claim_group_manager.wait_until_handed_over(
                 HANDOVER_TIMEOUT_S
             )
             self._logger.info("claims are handed over", done=handed_over)
@@ -222,7 +222,7 @@
             if self.writer.reachable:
                 self.writer.submit(records.MemberLeft(self.me.incarnation))
             await asyncio.wait_for(
-                self.writer.wait_until_flushed(), LEAVE_WAIT_S
+                self.writer.wait_until_flushed(), LEAVE_TIMEOUT_S
             )
         except (TimeoutError, log_writer.QueueFullError):
             self._logger.warning("the log is away, leaving without a record")
@@ -252,7 +252,7 @@
             state.next_offset,
             self.reader.reachable,
             self.server.entry is not None,
-            self.server.entry.version if self.server.entry else -1,
+            self.server.entry.acknowledged_version if self.server.entry else -1,
             tuple(self._peer_statuses()),
             tuple(self.engine_poller.reports()),
             {
@@ -273,25 +273,25 @@
         now_ms = self._clock.monotonic_ms()
         statuses = []
         for name, member in sorted(self._membership.known().items()):
-            belief = self._membership.state_of(name)
-            if belief is None:
+            peer_state = self._membership.state_of(name)
+            if peer_state is None:
                 continue
             heartbeat = self.peer_links.heartbeats.get(name)
             statuses.append(
                 messages.PeerStatus(
                     name,
                     member.zone,
-                    belief[0].value,
+                    peer_state[0].value,
                     heartbeat.version if heartbeat else -1,
                     heartbeat.next_offset if heartbeat else -1,
                     heartbeat.log_reachable if heartbeat else False,
-                    now_ms - belief[1],
+                    now_ms - peer_state[1],
                 )
             )
         return statuses
 
     def _on_demand(self, report: messages.DemandReport) -> None:
-        self.demand_tracker.report(report.calls, report.interval_ms)
+        self.demand_tracker.record_counts(report.calls, report.interval_ms)
 
     def _on_event(self, event: replay.AppliedRecord) -> None:
         match event.record:
@@ -351,7 +351,7 @@
             ),
             "sesamecross_lease_held": (
                 "1 while this steward holds its zone's lease.",
-                int(self.lease.held() is not None),
+                int(self.lease.held_lease() is not None),
             ),
             "sesamecross_intents_unresolved": (
                 "Orders whose outcome is not proved.",
--- a/sesamecross/steward/app_test.py
+++ b/sesamecross/steward/app_test.py
@@ -41,10 +41,10 @@
         held = lease if holds_lease else None
         monkeypatch.setattr(
             lease_manager.LeaseManager,
-            "held",
-            lambda _claim_group_manager: held,
+            "held_lease",
+            lambda _manager: held,
         )
-        monkeypatch.setattr(app_lib, "LEAVE_WAIT_S", 0.01)
+        monkeypatch.setattr(app_lib, "LEAVE_TIMEOUT_S", 0.01)
         for number in range(log_writer.MAX_QUEUE_LENGTH):
             app.writer.submit(number)
         await app.drain()
--- a/sesamecross/steward/bootstrapper.py
+++ b/sesamecross/steward/bootstrapper.py
@@ -13,18 +13,18 @@
 from sesamecross.runtime import logs
 
 TICK_S = 0.05
-PEERS_AFTER_S = 1.0
+PEER_FETCH_DELAY_S = 1.0
 
 
 class Bootstrapper:
     """Component that makes the steward ready, and mends gaps later."""
 
-    __slots__ = ("_app", "_logger", "_gap", "_joined")
+    __slots__ = ("_app", "_logger", "_has_gap", "_joined")
 
     def __init__(self) -> None:
         self._app: Any = None
         self._logger = logs.get_logger("starter")
-        self._gap = False
+        self._has_gap = False
         self._joined = False
 
     @property
@@ -38,39 +38,41 @@
 
     def on_gap(self) -> None:
         """The log has expired what this replica would need next."""
-        self._gap = True
+        self._has_gap = True
 
     async def run(self) -> None:
         """Gets the steward ready, then watches for gaps."""
         loop = asyncio.get_running_loop()
-        waited_from = loop.time()
-        said = False
+        started_s = loop.time()
+        has_warned = False
         while not self._app.view_sender.is_ready:
             await asyncio.sleep(TICK_S)
-            waited_s = loop.time() - waited_from
+            waited_s = loop.time() - started_s
             if self._app.reader.caught_up:
-                self._ready("the log")
-            elif waited_s > PEERS_AFTER_S and await self._from_peers():
-                self._ready("a peer")
-            elif waited_s > 3 * PEERS_AFTER_S and not said:
-                said = True
+                self._mark_ready("the log")
+            elif (
+                waited_s > PEER_FETCH_DELAY_S and await self._fetch_from_peers()
+            ):
+                self._mark_ready("a peer")
+            elif waited_s > 3 * PEER_FETCH_DELAY_S and not has_warned:
+                has_warned = True
                 self._logger.warning(
                     "neither the log nor a peer gives the state;"
                     " waiting, nothing is served"
                 )
-        await self._watch()
+        await self._watch_for_gaps()
 
     async def stop(self) -> None:
         """Nothing to finish."""
 
-    async def _watch(self) -> None:
+    async def _watch_for_gaps(self) -> None:
         while True:
             await asyncio.sleep(TICK_S * 4)
             app = self._app
             app.peer_links.log_reachable = app.reader.reachable
             self._join()
-            if self._gap:
-                self._gap = False
+            if self._has_gap:
+                self._has_gap = False
                 await app.peer_links.fetch_state()
 
     def _join(self) -> None:
@@ -81,13 +83,13 @@
         self._joined = True
         app.writer.submit(records.MemberJoined(app.me))
 
-    async def _from_peers(self) -> bool:
+    async def _fetch_from_peers(self) -> bool:
         state = self._app.replica.state
         before = state.next_offset
         await self._app.peer_links.fetch_state()
         return self._app.replica.state.next_offset > before
 
-    def _ready(self, source: str) -> None:
+    def _mark_ready(self, source: str) -> None:
         app = self._app
         app.peer_links.add_replayed_members()
         app.peer_links.ready = True
--- a/sesamecross/steward/claim_group_manager.py
+++ b/sesamecross/steward/claim_group_manager.py
@@ -26,10 +26,10 @@
 from sesamecross.steward import log_writer
 
 TICK_S = 0.05
-PROPOSE_MS = 500
+PROPOSAL_INTERVAL_MS = 500
 # A proposal that got no verdict for this long is thought over anew.
-PROPOSAL_WAIT_MS = 3000
-SETTLING_MS = 1500
+PROPOSAL_TIMEOUT_MS = 3000
+STARTUP_DELAY_MS = 1500
 
 Post = Callable[[data.Incarnation, object], None]
 
@@ -59,14 +59,14 @@
         self._logger = logs.get_logger("claim-group")
         self._groups: dict[str, claim_group.ClaimGroup] = {}
         self._state: replay.SharedState | None = None
-        self._waiting: dict[str, asyncio.Future] = {}
+        self._verdict_futures: dict[str, asyncio.Future] = {}
         self._ready_ms: int | None = None
-        self._proposed_ms = -PROPOSAL_WAIT_MS
+        self._proposed_ms = -PROPOSAL_TIMEOUT_MS
         self._releasing: dict[str, tuple[str, int]] = {}
         self.post: Post | None = None
         self.leaving = False
         self.is_ready = False
-        replica.listen(self._on_event)
+        replica.add_listener(self._on_event)
 
     @property
     def name(self) -> str:
@@ -90,7 +90,7 @@
     async def stop(self) -> None:
         """Nothing is open between ticks."""
 
-    async def handed_over(self, timeout_s: float) -> bool:
+    async def wait_until_handed_over(self, timeout_s: float) -> bool:
         """Waits until no group needs this steward any more."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
@@ -101,8 +101,8 @@
     def _is_needed(self) -> bool:
         """Tells whether somebody could still take this steward's part."""
         me = self._me.incarnation
-        around = self._surroundings()
-        successors = around.alive.keys() - around.leaving
+        cluster = self._cluster_view()
+        successors = cluster.alive.keys() - cluster.leaving
         if not successors:
             # The whole deployment stops; the log keeps the claims.
             return False
@@ -122,20 +122,20 @@
     def _tick(self, now_ms: int) -> None:
         if self._ready_ms is None:
             self._ready_ms = now_ms
-        self._follow_state(now_ms)
+        self._sync_groups(now_ms)
         reachable = self._reader.reachable and self._writer.reachable
         for group in self._groups.values():
             group.set_log_reachable(reachable, now_ms)
-            self._act(
+            self._execute_actions(
                 group.on_replayed(self._replica.state.next_offset, now_ms)
             )
-            self._act(group.tick(now_ms))
-        if reachable and now_ms - self._ready_ms >= SETTLING_MS:
+            self._execute_actions(group.tick(now_ms))
+        if reachable and now_ms - self._ready_ms >= STARTUP_DELAY_MS:
             self._release_homes()
-            if now_ms - self._proposed_ms >= PROPOSE_MS:
+            if now_ms - self._proposed_ms >= PROPOSAL_INTERVAL_MS:
                 self._propose(now_ms)
 
-    def _follow_state(self, now_ms: int) -> None:
+    def _sync_groups(self, now_ms: int) -> None:
         """Gives this steward a part in each zone's group that has one."""
         state = self._replica.state
         if state is not self._state:
@@ -153,7 +153,9 @@
                 )
                 self._groups[zone] = group
                 for peer, in_contact in self._contact_tracker.dead.items():
-                    self._act(group.on_peer_death(peer, in_contact, now_ms))
+                    self._execute_actions(
+                        group.on_peer_death(peer, in_contact, now_ms)
+                    )
 
     def on_peer_death(self, peer: data.Incarnation) -> None:
         """A peer's address refuses, or another incarnation answers there."""
@@ -167,7 +169,7 @@
         self._membership.remove(peer)
         if self._writer.reachable:
             self._submit((records.MemberLeft(peer, True, in_contact),))
-        self._note_death(peer, in_contact)
+        self._handle_death(peer, in_contact)
 
     def _on_death_record(
         self, record: records.MemberLeft, peer: data.Incarnation
@@ -178,9 +180,9 @@
         known = self._contact_tracker.dead.get(peer)
         if known is None or (record.in_contact and not known):
             self._contact_tracker.dead[peer] = record.in_contact
-            self._note_death(peer, record.in_contact)
+            self._handle_death(peer, record.in_contact)
 
-    def _note_death(self, peer: data.Incarnation, in_contact: bool) -> None:
+    def _handle_death(self, peer: data.Incarnation, in_contact: bool) -> None:
         self._logger.info(
             "a steward is dead", peer=peer.instance, in_contact=in_contact
         )
@@ -191,7 +193,7 @@
         )
         now_ms = self._clock.monotonic_ms()
         for group in self._groups.values():
-            self._act(group.on_peer_death(peer, in_contact, now_ms))
+            self._execute_actions(group.on_peer_death(peer, in_contact, now_ms))
 
     def on_peer_heartbeat(self, peer: data.Incarnation) -> None:
         """A heartbeat came from a peer."""
@@ -203,15 +205,17 @@
 
     def _propose(self, now_ms: int) -> None:
         state = self._replica.state
-        around = self._surroundings()
+        cluster = self._cluster_view()
         zones = {caller.home_zone for caller in self._callers().values()}
         for zone in sorted(zones | state.groups.zones.keys()):
             change = group_planner.propose_group(
-                zone, self._me, state.groups.zones.get(zone), around
+                zone, self._me, state.groups.zones.get(zone), cluster
             )
             if change is None:
                 continue
-            self._proposed_ms = now_ms + PROPOSAL_WAIT_MS - PROPOSE_MS
+            self._proposed_ms = (
+                now_ms + PROPOSAL_TIMEOUT_MS - PROPOSAL_INTERVAL_MS
+            )
             self._submit((change,))
             self._logger.info(
                 "epoch is proposed",
@@ -220,13 +224,13 @@
                 members=[m.instance for m in change.members],
             )
 
-    def _surroundings(self) -> group_planner.ClusterView:
+    def _cluster_view(self) -> group_planner.ClusterView:
         alive = self._membership.believed_alive()
         leaving = {
             name
             for name, member in self._membership.known().items()
-            if (belief := self._membership.state_of(name)) is not None
-            and belief[0] is membership_lib.PeerState.LEAVING
+            if (peer_state := self._membership.state_of(name)) is not None
+            and peer_state[0] is membership_lib.PeerState.LEAVING
         }
         if self.leaving:
             leaving.add(self._me.incarnation.instance)
@@ -264,7 +268,7 @@
         now_ms = self._clock.monotonic_ms()
         match event.record:
             case records.ClaimMade(zone=zone) if zone in self._groups:
-                self._act(
+                self._execute_actions(
                     self._groups[zone].on_claim_record(
                         event.record, event.result, now_ms
                     )
@@ -293,11 +297,11 @@
             case gm.ClaimAsk():
                 return group.on_ask(message, now_ms)
             case gm.ClaimAck():
-                self._act(group.on_ack(message, now_ms))
+                self._execute_actions(group.on_ack(message, now_ms))
             case gm.GroupFence():
                 return group.on_fence(message)
             case gm.GroupFenced():
-                self._act(group.on_fenced(message, now_ms))
+                self._execute_actions(group.on_fenced(message, now_ms))
             case gm.ClaimWithdrawn():
                 group.on_withdrawn(message)
             case gm.ClaimTold():
@@ -313,7 +317,7 @@
 
     def claim(self, zone: str, record: records.ClaimMade) -> asyncio.Future:
         """Begins to decide a claim here; returns a future of its verdict."""
-        future = self._waiting.get(record.claim_id)
+        future = self._verdict_futures.get(record.claim_id)
         if future is not None:
             return future
         future = asyncio.get_running_loop().create_future()
@@ -322,8 +326,8 @@
         if group is None or releasing:
             future.set_result(None)
             return future
-        self._waiting[record.claim_id] = future
-        self._act(group.claim(record, self._clock.monotonic_ms()))
+        self._verdict_futures[record.claim_id] = future
+        self._execute_actions(group.claim(record, self._clock.monotonic_ms()))
         return future
 
     def look_up(
@@ -338,12 +342,12 @@
         group = self._groups.get(zone)
         if group is None:
             return self._submit((settled,))
-        self._act(group.settle(settled))
+        self._execute_actions(group.settle(settled))
         return True
 
     # -- actions ---
 
-    def _act(self, actions: list[claim_group.Action]) -> None:
+    def _execute_actions(self, actions: list[claim_group.Action]) -> None:
         for action in actions:
             match action:
                 case claim_group.Send(to=to, message=message):
@@ -352,16 +356,18 @@
                 case claim_group.Append(records=entries):
                     self._submit(entries)
                 case claim_group.Verdict(claim_id=claim_id, verdict=verdict):
-                    self._answer(claim_id, verdict)
+                    self._resolve_claim(claim_id, verdict)
                 case claim_group.Activated(epoch=epoch, doubt=doubt):
-                    self._note_active(epoch, doubt)
+                    self._handle_activation(epoch, doubt)
 
-    def _answer(self, claim_id: str, verdict: data.ClaimVerdict | None) -> None:
-        future = self._waiting.pop(claim_id, None)
+    def _resolve_claim(
+        self, claim_id: str, verdict: data.ClaimVerdict | None
+    ) -> None:
+        future = self._verdict_futures.pop(claim_id, None)
         if future is not None and not future.done():
             future.set_result(verdict)
 
-    def _note_active(self, epoch: int, doubt: bool) -> None:
+    def _handle_activation(self, epoch: int, doubt: bool) -> None:
         what = f"active in epoch {epoch}"
         if doubt:
             what += ", in doubt about claims made in the dark"
--- a/sesamecross/steward/claim_router.py
+++ b/sesamecross/steward/claim_router.py
@@ -19,13 +19,13 @@
 from sesamecross.steward import claim_group_manager as claim_group_manager_lib
 from sesamecross.steward import local_replica as local_replica_lib
 
-CLAIM_WAIT_S = 3.5
-FORWARD_WAIT_S = 3.0
-SETTLE_TRIES = 20
-SETTLE_PAUSE_S = 0.5
+CLAIM_TIMEOUT_S = 3.5
+FORWARD_TIMEOUT_S = 3.0
+SETTLE_ATTEMPTS = 20
+SETTLE_RETRY_INTERVAL_S = 0.5
 # An entry that went away in the middle of a claimed call may come back with
 # its outcome; past this the outcome is written down as unknown.
-ABANDONED_S = 5.0
+ABANDONED_CLAIM_DELAY_S = 5.0
 
 # Sends a request to a steward and returns its reply, or None.
 SendRequest = Callable[
@@ -48,11 +48,11 @@
         self._claim_group_manager = claim_group_manager
         self._recorder = recorder
         self._logger = logs.get_logger("claims")
-        self._zone_of: dict[str, str] = {}
+        self._claim_zones: dict[str, str] = {}
         self._tasks: set[asyncio.Task] = set()
         self.send_request: SendRequest | None = None
 
-    def _home(self, caller: str) -> str:
+    def _home_zone(self, caller: str) -> str:
         return self._replica.state.groups.homes.get(caller, "")
 
     # -- for the own entry -------------------------------------------------
@@ -62,8 +62,8 @@
     ) -> data.ClaimVerdict | None:
         """Returns the verdict, or None where there is none to be had."""
         record = dataclasses.replace(record, holder=self._me)
-        zone = self._home(record.caller)
-        self._zone_of[record.claim_id] = zone
+        zone = self._home_zone(record.caller)
+        self._claim_zones[record.claim_id] = zone
         verdict = await self._decide(zone, record, only_look=False)
         state = verdict.state.value if verdict else "not decided"
         self._logger.info(
@@ -79,20 +79,20 @@
             verdict is not None and verdict.state is not data.ClaimState.WON
         )
         if settled_elsewhere:
-            self._zone_of.pop(record.claim_id, None)
+            self._claim_zones.pop(record.claim_id, None)
         return verdict
 
     async def look_up(
         self, record: records.ClaimMade
     ) -> data.ClaimVerdict | None:
         """Returns what is known now of the claim that holds the name."""
-        zone = self._home(record.caller)
+        zone = self._home_zone(record.caller)
         return await self._decide(zone, record, only_look=True)
 
     async def settle(self, settled: records.ClaimSettled) -> bool:
         """Passes an outcome on; tells whether the group keeps it."""
-        zone = self._zone_of.get(settled.claim_id, "")
-        for _ in range(SETTLE_TRIES):
+        zone = self._claim_zones.get(settled.claim_id, "")
+        for _ in range(SETTLE_ATTEMPTS):
             leader = self._claim_group_manager.leader_of(zone)
             if leader == self._me or (leader is None and not zone):
                 self._claim_group_manager.settle(zone, settled)
@@ -101,27 +101,27 @@
                 leader, zone, settled
             ):
                 break
-            await asyncio.sleep(SETTLE_PAUSE_S)
+            await asyncio.sleep(SETTLE_RETRY_INTERVAL_S)
         else:
             # Nobody of the group can be reached; the log is the last place.
             self._claim_group_manager.settle("", settled)
-        self._zone_of.pop(settled.claim_id, None)
+        self._claim_zones.pop(settled.claim_id, None)
         return True
 
     def settle_abandoned(self, claim_ids: set[str]) -> None:
         """The entry went away without the outcome of these claims."""
-        task = asyncio.create_task(self._give_up(claim_ids))
+        task = asyncio.create_task(self._settle_unknown(claim_ids))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _give_up(self, claim_ids: set[str]) -> None:
-        await asyncio.sleep(ABANDONED_S)
+    async def _settle_unknown(self, claim_ids: set[str]) -> None:
+        await asyncio.sleep(ABANDONED_CLAIM_DELAY_S)
         for claim_id in claim_ids:
-            if claim_id not in self._zone_of:
+            if claim_id not in self._claim_zones:
                 continue
             # It may have run or not: said to be unknown, never run again.
-            unknown = records.ClaimSettled(claim_id, True, None)
-            await self.settle(unknown)
+            unknown_outcome = records.ClaimSettled(claim_id, True, None)
+            await self.settle(unknown_outcome)
 
     # -- deciding or forwarding ----------------------------------------------
 
@@ -132,34 +132,36 @@
         if leader is None:
             return None
         if leader == self._me:
-            return await self.decide_here(zone, record, only_look)
+            return await self.decide_locally(zone, record, only_look)
         request_id = uuid.uuid4().hex
         forward = messages.ClaimForward(request_id, zone, record, only_look)
         reply = await self.send_request(
-            leader, forward, request_id, CLAIM_WAIT_S
+            leader, forward, request_id, CLAIM_TIMEOUT_S
         )
         if isinstance(reply, messages.ClaimReply):
             return reply.verdict
         return None
 
-    async def decide_here(
+    async def decide_locally(
         self, zone: str, record: records.ClaimMade, only_look: bool
     ) -> data.ClaimVerdict | None:
         """Decides at this steward, which should be the leader."""
         if only_look:
             return self._claim_group_manager.look_up(zone, record)
         future = self._claim_group_manager.claim(zone, record)
-        done, _ = await asyncio.wait([future], timeout=FORWARD_WAIT_S)
+        done, _ = await asyncio.wait([future], timeout=FORWARD_TIMEOUT_S)
         if done:
             return future.result()
         future.add_done_callback(
-            lambda late: self._on_late(zone, late.result())
+            lambda completed: self._on_late_verdict(zone, completed.result())
         )
         return None
 
-    def _on_late(self, zone: str, verdict: data.ClaimVerdict | None) -> None:
+    def _on_late_verdict(
+        self, zone: str, verdict: data.ClaimVerdict | None
+    ) -> None:
         if verdict is not None and verdict.state is data.ClaimState.WON:
-            self._zone_of[verdict.claim_id] = zone
+            self._claim_zones[verdict.claim_id] = zone
             self.cancel_claim(verdict.claim_id)
 
     async def _forward_outcome(
@@ -171,7 +173,7 @@
         request_id = uuid.uuid4().hex
         forward = messages.OutcomeForward(request_id, zone, settled)
         reply = await self.send_request(
-            leader, forward, request_id, FORWARD_WAIT_S
+            leader, forward, request_id, FORWARD_TIMEOUT_S
         )
         return isinstance(reply, messages.Done) and reply.ok
 
@@ -179,7 +181,7 @@
 
     async def on_forward(self, forward: messages.ClaimForward) -> object:
         """Decides for another steward; returns the reply."""
-        verdict = await self.decide_here(
+        verdict = await self.decide_locally(
             forward.zone, forward.claim, forward.only_look
         )
         return messages.ClaimReply(forward.request_id, verdict)
--- a/sesamecross/steward/contact_tracker.py
+++ b/sesamecross/steward/contact_tracker.py
@@ -11,38 +11,48 @@
 from sesamecross.core import data
 from sesamecross.core import messages
 
-BEATS_KEPT = 64
+MAX_TRACKED_HEARTBEATS = 64
 
 
 class ContactTracker:
     """Beats sent to each instance and what was heard of them."""
 
-    __slots__ = ("_clock", "_sent", "_touched", "_heard_count", "dead")
+    __slots__ = (
+        "_clock",
+        "_sent_heartbeats",
+        "_last_acks",
+        "_last_counts",
+        "dead",
+    )
 
     def __init__(self, clock: clock_lib.Clock):
         self._clock = clock
-        self._sent: dict[str, deque[tuple[int, int]]] = {}
-        self._touched: dict[data.Incarnation, tuple[int, bool]] = {}
-        self._heard_count: dict[str, int] = {}
+        self._sent_heartbeats: dict[str, deque[tuple[int, int]]] = {}
+        self._last_acks: dict[data.Incarnation, tuple[int, bool]] = {}
+        self._last_counts: dict[str, int] = {}
         self.dead: dict[data.Incarnation, bool] = {}
 
     def record_sent(self, instance: str, count: int) -> None:
         """A heartbeat leaves for an instance."""
-        beats = self._sent.setdefault(instance, deque(maxlen=BEATS_KEPT))
-        beats.append((count, self._clock.monotonic_ms()))
+        heartbeats = self._sent_heartbeats.setdefault(
+            instance, deque(maxlen=MAX_TRACKED_HEARTBEATS)
+        )
+        heartbeats.append((count, self._clock.monotonic_ms()))
 
     def echo_for(self, instance: str) -> int:
         """Returns the last count heard from an instance."""
-        return self._heard_count.get(instance, 0)
+        return self._last_counts.get(instance, 0)
 
     def on_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
         """A heartbeat came; it tells which of ours had arrived before."""
         incarnation = heartbeat.member.incarnation
-        self._heard_count[incarnation.instance] = heartbeat.count
-        clean = heartbeat.kept_in_dark == 0
-        for count, at_ms in self._sent.get(incarnation.instance, ()):
+        self._last_counts[incarnation.instance] = heartbeat.count
+        is_clean = heartbeat.kept_in_dark == 0
+        for count, sent_ms in self._sent_heartbeats.get(
+            incarnation.instance, ()
+        ):
             if count == heartbeat.echo:
-                self._touched[incarnation] = (at_ms, clean)
+                self._last_acks[incarnation] = (sent_ms, is_clean)
 
     def record_death(
         self, incarnation: data.Incarnation, within_ms: int
@@ -58,11 +68,11 @@
         """
         if incarnation in self.dead:
             return None
-        at_ms, clean = self._touched.get(incarnation, (None, False))
+        sent_ms, is_clean = self._last_acks.get(incarnation, (None, False))
         in_contact = (
-            at_ms is not None
-            and clean
-            and self._clock.monotonic_ms() - at_ms < within_ms
+            sent_ms is not None
+            and is_clean
+            and self._clock.monotonic_ms() - sent_ms < within_ms
         )
         self.dead[incarnation] = in_contact
         return in_contact
--- a/sesamecross/steward/demand_tracker.py
+++ b/sesamecross/steward/demand_tracker.py
@@ -13,7 +13,7 @@
 DEMAND_PREFIX = "demand/"
 HALF_LIFE_MS = 20_000
 # Rates below this are noise of the smoothing and are dropped.
-SMALLEST_RATE = 0.001
+MIN_RATE = 0.001
 
 
 class DemandTracker:
@@ -32,15 +32,15 @@
         self._recorder = recorder
         self._rates: dict[str, float] = {}
 
-    def report(self, calls: dict[str, int], interval_ms: int) -> None:
+    def record_counts(self, calls: dict[str, int], interval_ms: int) -> None:
         """Takes in an entry's counts and publishes the smoothed rates."""
-        keep = math.exp2(-interval_ms / HALF_LIFE_MS)
+        decay = math.exp2(-interval_ms / HALF_LIFE_MS)
         names = self._rates.keys() | calls.keys()
         rates = {}
         for name in names:
-            now = calls.get(name, 0) * 1000 / max(1, interval_ms)
-            rate = self._rates.get(name, 0.0) * keep + now * (1 - keep)
-            if rate >= SMALLEST_RATE:
+            current = calls.get(name, 0) * 1000 / max(1, interval_ms)
+            rate = self._rates.get(name, 0.0) * decay + current * (1 - decay)
+            if rate >= MIN_RATE:
                 rates[name] = round(rate, 4)
         if rates == self._rates:
             return
--- a/sesamecross/steward/engine_poller.py
+++ b/sesamecross/steward/engine_poller.py
@@ -20,7 +20,7 @@
 
 REPORT_PREFIX = "report/"
 # An unreachable upstream is reported as such after this many tries.
-TRIES = 3
+UNREACHABLE_AFTER_FAILURES = 3
 # An unchanged report is spread again after this long, in seconds. Entries
 # discount load that was reported long ago, so a busy upstream's comes sooner.
 BUSY_REFRESH_S = 1.0
@@ -37,7 +37,7 @@
         "_membership",
         "_engines",
         "_recorder",
-        "_report_s",
+        "_poll_interval_s",
         "_failures",
         "_published",
         "_logger",
@@ -59,7 +59,7 @@
         self._membership = membership
         self._engines = engines
         self._recorder = recorder
-        self._report_s = report_ms / 1000
+        self._poll_interval_s = report_ms / 1000
         self._failures: dict[str, int] = {}
         self._published: dict[str, tuple[data.UpstreamReport, float]] = {}
         self._logger = logs.get_logger("reporter")
@@ -72,14 +72,16 @@
     async def run(self) -> None:
         """Polls until cancelled."""
         while True:
-            own = self._own_upstreams()
-            await asyncio.gather(*(self.poll(upstream) for upstream in own))
-            await asyncio.sleep(self._report_s)
+            upstreams = self._assigned_upstreams()
+            await asyncio.gather(
+                *(self.poll(upstream) for upstream in upstreams)
+            )
+            await asyncio.sleep(self._poll_interval_s)
 
     async def stop(self) -> None:
         """Nothing is open between polls."""
 
-    def _own_upstreams(self) -> list[data.Upstream]:
+    def _assigned_upstreams(self) -> list[data.Upstream]:
         alive = self._membership.alive_in_zone()
         me = self._me.incarnation.instance
         return [
@@ -103,7 +105,7 @@
             return status
         failures = self._failures.get(upstream.name, 0) + 1
         self._failures[upstream.name] = failures
-        if failures == TRIES:
+        if failures == UNREACHABLE_AFTER_FAILURES:
             self._publish_unreachable(upstream)
         return None
 
@@ -130,14 +132,14 @@
 
     def _publish(self, report: data.UpstreamReport) -> None:
         """Spreads a report, if it says something new or the last is old."""
-        same = dataclasses.replace(report, sequence=0)
+        without_sequence = dataclasses.replace(report, sequence=0)
         before, at_s = self._published.get(report.upstream, (None, 0.0))
         now_s = asyncio.get_running_loop().time()
         busy = report.running or report.waiting
         refresh_s = BUSY_REFRESH_S if busy else IDLE_REFRESH_S
-        if before == same and now_s - at_s < refresh_s:
+        if before == without_sequence and now_s - at_s < refresh_s:
             return
-        self._published[report.upstream] = (same, now_s)
+        self._published[report.upstream] = (without_sequence, now_s)
         stamp = self._recorder.now()
         item = gossip.Item(
             REPORT_PREFIX + report.upstream,
--- a/sesamecross/steward/lease_manager.py
+++ b/sesamecross/steward/lease_manager.py
@@ -20,10 +20,10 @@
 from sesamecross.steward import log_writer
 
 TICK_S = 0.1
-STEP_MS = 500
+RANK_DELAY_MS = 500
 # A challenge that got no verdict for this long is written anew; the earlier
 # record, if it shows up, loses or wins by the same rule.
-CHALLENGE_MS = 3000
+CHALLENGE_TIMEOUT_MS = 3000
 
 
 class LeaseManager:
@@ -37,8 +37,8 @@
         "_membership",
         "_clock",
         "_recorder",
-        "_renew_ms",
-        "_watch",
+        "_renew_interval_ms",
+        "_expiry_detector",
         "_renewed_ms",
         "_challenged_ms",
         "_logger",
@@ -63,22 +63,22 @@
         self._membership = membership
         self._clock = clock
         self._recorder = recorder
-        self._renew_ms = settings.lease_renew_ms
-        self._watch = leases.LeaseExpiryDetector(
-            settings.lease_lapse_ms, STEP_MS
+        self._renew_interval_ms = settings.lease_renew_ms
+        self._expiry_detector = leases.LeaseExpiryDetector(
+            settings.lease_lapse_ms, RANK_DELAY_MS
         )
         self._renewed_ms = 0
-        self._challenged_ms = -CHALLENGE_MS
+        self._challenged_ms = -CHALLENGE_TIMEOUT_MS
         self._logger = logs.get_logger("lease")
         self._leaving = False
-        replica.listen(self._on_event)
+        replica.add_listener(self._on_event)
 
     @property
     def name(self) -> str:
         """The prefix of its logs."""
         return "lease"
 
-    def held(self) -> leases.Lease | None:
+    def held_lease(self) -> leases.Lease | None:
         """Returns the lease if this incarnation holds it."""
         lease = self._replica.state.leases.leases.get(self._me.zone)
         if lease is None or lease.holder != self._me.incarnation:
@@ -95,7 +95,7 @@
     async def stop(self) -> None:
         """Gives the lease back, so that nobody waits for its lapse."""
         self._leaving = True
-        lease = self.held()
+        lease = self.held_lease()
         if lease is None:
             return
         try:
@@ -107,9 +107,9 @@
         self._logger.info("lease is given back")
 
     def _tick(self, now_ms: int) -> None:
-        lease = self.held()
+        lease = self.held_lease()
         if lease is not None:
-            if now_ms - self._renewed_ms >= self._renew_ms:
+            if now_ms - self._renewed_ms >= self._renew_interval_ms:
                 self._renewed_ms = now_ms
                 # While the log is away a queued renewal is enough.
                 if self._writer.reachable:
@@ -119,7 +119,7 @@
             return
         if not (self._reader.reachable and self._writer.reachable):
             # Nobody can renew while the log is away: no lapse is observed.
-            self._watch.reset_timer(now_ms)
+            self._expiry_detector.reset_timer(now_ms)
             return
         self._challenge(now_ms)
 
@@ -127,9 +127,9 @@
         current = self._replica.state.leases.leases.get(self._me.zone)
         alive = self._membership.alive_in_zone()
         rank = alive.index(self._me.incarnation.instance)
-        if not self._watch.may_challenge(now_ms, current, rank):
+        if not self._expiry_detector.may_challenge(now_ms, current, rank):
             return
-        if now_ms - self._challenged_ms < CHALLENGE_MS:
+        if now_ms - self._challenged_ms < CHALLENGE_TIMEOUT_MS:
             return
         self._challenged_ms = now_ms
         supersedes = current.offset if current else 0
@@ -144,7 +144,7 @@
             case records.LeaseRenewed(zone=zone) if (
                 zone == self._me.zone and event.result
             ):
-                self._watch.reset_timer(now_ms)
+                self._expiry_detector.reset_timer(now_ms)
             case records.LeaseTaken(zone=zone) if event.result is not None:
                 lease: leases.Lease = event.result
                 holder = lease.holder.instance
--- a/sesamecross/steward/local_replica.py
+++ b/sesamecross/steward/local_replica.py
@@ -17,7 +17,7 @@
 Listener = Callable[[replay.AppliedRecord], None]
 
 
-def key_of(record: Any) -> str | None:
+def wait_key(record: Any) -> str | None:
     """Returns the name under which somebody may wait for a record."""
     match record:
         case records.IntentWritten(order=order):
@@ -41,19 +41,19 @@
         """The replayed state."""
         return self.log_replica.state
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Calls `listener` with each event from now on."""
         self._listeners.append(listener)
 
     def result_future(self, record: Any) -> asyncio.Future:
         """Returns a future of the record's result at replay."""
         future = asyncio.get_running_loop().create_future()
-        self._waiters.setdefault(key_of(record), []).append(future)
+        self._waiters.setdefault(wait_key(record), []).append(future)
         return future
 
     def cancel_wait(self, record: Any, future: asyncio.Future) -> None:
         """Stops waiting."""
-        waiting = self._waiters.get(key_of(record), [])
+        waiting = self._waiters.get(wait_key(record), [])
         if future in waiting:
             waiting.remove(future)
 
@@ -63,7 +63,7 @@
             self._recorder.receive(hlc.Timestamp(*event.stamp))
             for listener in self._listeners:
                 listener(event)
-            key = key_of(event.record)
+            key = wait_key(event.record)
             for future in self._waiters.pop(key, []) if key else []:
                 if not future.done():
                     future.set_result(event.result)
--- a/sesamecross/steward/log_reader.py
+++ b/sesamecross/steward/log_reader.py
@@ -16,7 +16,7 @@
 from sesamecross.runtime import logs
 from sesamecross.steward import local_replica as local_replica_lib
 
-WAIT_MS = 1000
+LONG_POLL_MS = 1000
 INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
 
@@ -69,24 +69,24 @@
 
     async def run(self) -> None:
         """Reads until cancelled."""
-        pause = INITIAL_BACKOFF_S
+        backoff_s = INITIAL_BACKOFF_S
         while True:
             start = self._replica.log_replica.read_offset
-            wait_ms = WAIT_MS if self._caught_up else 0
+            wait_ms = LONG_POLL_MS if self._caught_up else 0
             result = await asyncio.to_thread(self._log.read, start, wait_ms)
             if isinstance(result, Success):
-                pause = INITIAL_BACKOFF_S
+                backoff_s = INITIAL_BACKOFF_S
                 self._set_reachable(True, "")
-                self._take(result.unwrap())
+                self._feed_page(result.unwrap())
                 continue
             self._set_reachable(False, str(result.failure()))
-            await asyncio.sleep(pause * self._rng.uniform(0.5, 1.0))
-            pause = min(pause * 2, MAX_BACKOFF_S)
+            await asyncio.sleep(backoff_s * self._rng.uniform(0.5, 1.0))
+            backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
 
     async def stop(self) -> None:
         """Nothing is open between reads."""
 
-    def _take(self, page: log_http.Page) -> None:
+    def _feed_page(self, page: log_http.Page) -> None:
         log_replica = self._replica.log_replica
         log_replica.feed(page.start, page.payloads)
         at_end = page.start + len(page.payloads) >= page.next_offset
--- a/sesamecross/steward/log_writer.py
+++ b/sesamecross/steward/log_writer.py
@@ -20,8 +20,8 @@
 from sesamecross.ports import log_http
 from sesamecross.runtime import logs
 
-MAX_GROUP = 200
-MAX_GROUP_BYTES = 512 * 1024
+MAX_BATCH_RECORDS = 200
+MAX_BATCH_BYTES = 512 * 1024
 MAX_QUEUE_LENGTH = 10_000
 INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 2.0
@@ -36,10 +36,10 @@
 
     __slots__ = (
         "_log",
-        "_writer",
+        "_writer_name",
         "_recorder",
         "_queue",
-        "_wake",
+        "_has_work",
         "_logger",
         "_reachable",
         "_rng",
@@ -51,16 +51,16 @@
     def __init__(
         self,
         log: log_http.HttpLog,
-        writer: str,
+        writer_name: str,
         recorder: timeline.Recorder,
         rng: random.Random,
     ):
         self._log = log
-        self._writer = writer
+        self._writer_name = writer_name
         self._recorder = recorder
         self._rng = rng
         self._queue: deque[tuple[tuple[Any, ...], int]] = deque()
-        self._wake = asyncio.Event()
+        self._has_work = asyncio.Event()
         self._idle = asyncio.Event()
         self._idle.set()
         self._logger = logs.get_logger("log-writer")
@@ -97,7 +97,7 @@
         size = sum(len(codec.encode(entry)) for entry in entries)
         self._queue.append((entries, size))
         self._idle.clear()
-        self._wake.set()
+        self._has_work.set()
 
     def submit_alone(self, record: Any) -> None:
         """Queues a record that must have an append of its own.
@@ -108,9 +108,9 @@
         if len(self._queue) >= MAX_QUEUE_LENGTH:
             raise QueueFullError
         # Larger than any group: nothing joins it, and it joins nothing.
-        self._queue.append(((record,), MAX_GROUP_BYTES + 1))
+        self._queue.append(((record,), MAX_BATCH_BYTES + 1))
         self._idle.clear()
-        self._wake.set()
+        self._has_work.set()
 
     async def wait_until_flushed(self) -> None:
         """Waits until everything submitted has been answered for."""
@@ -119,10 +119,10 @@
     async def run(self) -> None:
         """Appends until cancelled."""
         while True:
-            await self._wake.wait()
-            self._wake.clear()
+            await self._has_work.wait()
+            self._has_work.clear()
             while self._queue:
-                await self._append(self._take())
+                await self._append(self._next_batch())
             self._idle.set()
 
     async def stop(self) -> None:
@@ -134,26 +134,26 @@
                 "records are lost with this stop", records=len(self._queue)
             )
 
-    def _take(self) -> list[Any]:
-        group: list[Any] = []
+    def _next_batch(self) -> list[Any]:
+        batch: list[Any] = []
         size = 0
-        while self._queue and len(group) < MAX_GROUP:
+        while self._queue and len(batch) < MAX_BATCH_RECORDS:
             size += self._queue[0][1]
-            if group and size > MAX_GROUP_BYTES:
+            if batch and size > MAX_BATCH_BYTES:
                 break
-            group.extend(self._queue.popleft()[0])
-        return group
+            batch.extend(self._queue.popleft()[0])
+        return batch
 
-    async def _append(self, group: list[Any]) -> None:
+    async def _append(self, batch: list[Any]) -> None:
         stamp = self._recorder.now()
         envelope = records.Envelope(
             uuid.uuid4().hex,
-            self._writer,
-            tuple(codec.to_plain(record) for record in group),
+            self._writer_name,
+            tuple(codec.to_plain(record) for record in batch),
             (stamp.wall_ms, stamp.count),
         )
         payload = codec.encode(envelope)
-        pause = INITIAL_BACKOFF_S
+        backoff_s = INITIAL_BACKOFF_S
         while True:
             result = await asyncio.to_thread(self._log.append, payload)
             if isinstance(result, Success):
@@ -164,8 +164,8 @@
             self._set_reachable(False, str(result.failure()))
             # Jitter keeps the stewards of a deployment from coming back to
             # a recovering log all at once.
-            await asyncio.sleep(pause * self._rng.uniform(0.5, 1.0))
-            pause = min(pause * 2, MAX_BACKOFF_S)
+            await asyncio.sleep(backoff_s * self._rng.uniform(0.5, 1.0))
+            backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
 
     def _set_reachable(self, reachable: bool, reason: str) -> None:
         if reachable == self._reachable:
--- a/sesamecross/steward/peer_links.py
+++ b/sesamecross/steward/peer_links.py
@@ -32,17 +32,17 @@
 ITEMS_PER_MESSAGE = 200
 VOTE_PREFIX = "vote/"
 PEER_ROLE = "steward"
-INSTANCES_S = 2.0
-STATE_WAIT_S = 5.0
-ADDRESSES_KEPT = 5000
+INSTANCE_LIST_INTERVAL_S = 2.0
+STATE_TIMEOUT_S = 5.0
+MAX_REMEMBERED_MEMBERS = 5000
 
 
 @dataclasses.dataclass(slots=True)
-class _Open:
+class _PeerStream:
     """One stream to a peer, whoever opened it."""
 
     stream: streams.Stream
-    link: gossip.PeerVersions
+    versions: gossip.PeerVersions
 
 
 class PeerLinks:
@@ -69,10 +69,10 @@
         self._claim_router = claim_router
         claim_group_manager.post = self.post
         claim_router.send_request = self.send_request
-        self._replies: dict[str, asyncio.Future] = {}
+        self._reply_futures: dict[str, asyncio.Future] = {}
         self._tasks: set[asyncio.Task] = set()
         # Where members were, also after they left membership.
-        self._addresses: dict[data.Incarnation, data.Member] = {}
+        self._last_known_members: dict[data.Incarnation, data.Member] = {}
         self._me = me
         self._shared_key = shared_key
         self._replica = replica
@@ -82,19 +82,19 @@
         self._clock = clock
         self._recorder = recorder
         self._rng = rng
-        self._heartbeat_s = heartbeat_ms / 1000
+        self._heartbeat_interval_s = heartbeat_ms / 1000
         self._logger = logs.get_logger("links")
-        self._open: dict[str, _Open] = {}
+        self._peer_streams: dict[str, _PeerStream] = {}
         self._connecting: dict[str, asyncio.Task] = {}
-        self._retry_at: dict[str, float] = {}
-        self._states: dict[str, asyncio.Future] = {}
-        self._heard: dict[str, messages.Heartbeat] = {}
-        self._count = 0
+        self._retry_at_s: dict[str, float] = {}
+        self._state_futures: dict[str, asyncio.Future] = {}
+        self._last_heartbeats: dict[str, messages.Heartbeat] = {}
+        self._heartbeat_count = 0
         self.leaving = False
         self.log_reachable = False
         self.ready = False
         self.bytes_sent = 0
-        replica.listen(self._on_event)
+        replica.add_listener(self._on_event)
 
     @property
     def name(self) -> str:
@@ -104,19 +104,19 @@
     @property
     def heartbeats(self) -> dict[str, messages.Heartbeat]:
         """The newest heartbeat of each peer that was heard."""
-        return self._heard
+        return self._last_heartbeats
 
     async def run(self) -> None:
         """Sends heartbeats and gossip until cancelled."""
-        listing = asyncio.create_task(self._follow_list())
+        list_task = asyncio.create_task(self._poll_instance_list())
         try:
             while True:
-                await asyncio.sleep(self._heartbeat_s)
+                await asyncio.sleep(self._heartbeat_interval_s)
                 self._tick()
                 self._connect_missing()
                 await self._send_all()
         finally:
-            listing.cancel()
+            list_task.cancel()
 
     async def stop(self) -> None:
         """Tells peers of the leave and closes all streams."""
@@ -124,14 +124,14 @@
         await self._send_all()
         for task in self._connecting.values():
             task.cancel()
-        for one in list(self._open.values()):
-            one.stream.close()
+        for peer_stream in list(self._peer_streams.values()):
+            peer_stream.stream.close()
 
     def _tick(self) -> None:
         for action in self._membership.tick(self._clock.monotonic_ms()):
             match action:
                 case membership_lib.Vote(member=member, suspect=suspect):
-                    self._spread_vote(member, suspect)
+                    self._publish_vote(member, suspect)
                 case membership_lib.BeliefChanged(member=member, state=state):
                     name = member.incarnation.instance
                     self._logger.info(
@@ -141,7 +141,7 @@
                         timeline.EventKind.MEMBER, f"{name} is {state.value}"
                     )
 
-    def _spread_vote(self, member: data.Member, suspect: bool) -> None:
+    def _publish_vote(self, member: data.Member, suspect: bool) -> None:
         me = self._me.incarnation.instance
         vote = messages.SuspicionVote(me, member.incarnation, suspect)
         stamp = self._recorder.now()
@@ -161,11 +161,11 @@
         now = asyncio.get_running_loop().time()
         wanted = overlay.stream_peers(self._me.incarnation.instance, members)
         for name, member in (wanted | self._group_peers(members)).items():
-            if name in self._open or name in self._connecting:
+            if name in self._peer_streams or name in self._connecting:
                 continue
-            if now < self._retry_at.get(name, 0.0):
+            if now < self._retry_at_s.get(name, 0.0):
                 continue
-            self._retry_at[name] = now + self._rng.uniform(0.5, 1.5)
+            self._retry_at_s[name] = now + self._rng.uniform(0.5, 1.5)
             task = asyncio.create_task(self._connect(name, member))
             self._connecting[name] = task
             task.add_done_callback(
@@ -187,7 +187,7 @@
                     member = members.get(peer.instance)
                     if member is None or member.incarnation != peer:
                         # Gone from membership, but its end must be proved.
-                        member = self._addresses.get(peer)
+                        member = self._last_known_members.get(peer)
                     is_dead = peer in self._contact_tracker.dead
                     if peer != me and member is not None and not is_dead:
                         peers[peer.instance] = member
@@ -225,49 +225,49 @@
         self._spawn(self._post(to, message))
 
     async def _post(self, to: data.Incarnation, message: object) -> bool:
-        one = await self._stream_to(to)
-        if one is None:
+        peer_stream = await self._stream_to(to)
+        if peer_stream is None:
             return False
         try:
-            self.bytes_sent += await one.stream.send(message)
+            self.bytes_sent += await peer_stream.stream.send(message)
         except streams.StreamClosedError:
             return False
         return True
 
-    async def _stream_to(self, to: data.Incarnation) -> _Open | None:
-        one = self._open.get(to.instance)
-        if one is not None:
-            return one
+    async def _stream_to(self, to: data.Incarnation) -> _PeerStream | None:
+        peer_stream = self._peer_streams.get(to.instance)
+        if peer_stream is not None:
+            return peer_stream
         member = self._membership.known().get(to.instance)
         if member is None or member.incarnation != to:
             return None
         if not await self._connect(to.instance, member):
             return None
         await asyncio.sleep(0)
-        return self._open.get(to.instance)
+        return self._peer_streams.get(to.instance)
 
     async def send_request(
         self,
         to: data.Incarnation,
         message: object,
         request_id: str,
-        wait_s: float,
+        timeout_s: float,
     ) -> object | None:
         """Sends a request to a peer; returns its reply, or None."""
         future = asyncio.get_running_loop().create_future()
-        self._replies[request_id] = future
+        self._reply_futures[request_id] = future
         try:
-            async with asyncio.timeout(wait_s):
+            async with asyncio.timeout(timeout_s):
                 if not await self._post(to, message):
                     return None
                 return await future
         except TimeoutError:
             return None
         finally:
-            self._replies.pop(request_id, None)
+            self._reply_futures.pop(request_id, None)
 
     def _on_reply(self, reply: messages.ClaimReply | messages.Done) -> None:
-        future = self._replies.pop(reply.request_id, None)
+        future = self._reply_futures.pop(reply.request_id, None)
         if future is not None and not future.done():
             future.set_result(reply)
         elif isinstance(reply, messages.ClaimReply):
@@ -276,46 +276,50 @@
                 self._claim_router.cancel_claim(verdict.claim_id)
 
     async def _on_forward(
-        self, one: _Open, forward: messages.ClaimForward
+        self, peer_stream: _PeerStream, forward: messages.ClaimForward
     ) -> None:
         reply = await self._claim_router.on_forward(forward)
         with contextlib.suppress(streams.StreamClosedError):
-            await one.stream.send(reply)
+            await peer_stream.stream.send(reply)
 
     async def serve(self, stream: streams.Stream, name: str) -> None:
         """Talks with one peer until the stream ends."""
-        one = _Open(stream, gossip.PeerVersions(name, ""))
-        earlier = self._open.get(name)
-        self._open[name] = one
-        if earlier is not None:
-            earlier.stream.close()
+        peer_stream = _PeerStream(stream, gossip.PeerVersions(name, ""))
+        previous = self._peer_streams.get(name)
+        self._peer_streams[name] = peer_stream
+        if previous is not None:
+            previous.stream.close()
         try:
-            await self._send_heartbeat(one)
+            await self._send_heartbeat(peer_stream)
             while True:
-                await self._receive(one, await stream.receive())
+                await self._receive(peer_stream, await stream.receive())
         except streams.StreamClosedError:
             pass
         finally:
             stream.close()
-            if self._open.get(name) is one:
-                del self._open[name]
+            if self._peer_streams.get(name) is peer_stream:
+                del self._peer_streams[name]
 
-    async def _receive(self, one: _Open, message: object) -> None:
+    async def _receive(self, peer_stream: _PeerStream, message: object) -> None:
         match message:
             case messages.Heartbeat():
-                self._on_heartbeat(one, message)
+                self._on_heartbeat(peer_stream, message)
             case gossip.Items(items=items):
                 for item in items:
-                    self._on_item(one, item)
+                    self._on_item(peer_stream, item)
             case messages.StateRequest(request_id=request_id):
                 snapshot = None
                 if self.ready:
                     snapshot = replay.snapshot(self._replica.state)
-                await one.stream.send(messages.StateReply(request_id, snapshot))
+                await peer_stream.stream.send(
+                    messages.StateReply(request_id, snapshot)
+                )
             case messages.ClaimForward():
-                self._spawn(self._on_forward(one, message))
+                self._spawn(self._on_forward(peer_stream, message))
             case messages.OutcomeForward():
-                await one.stream.send(self._claim_router.on_outcome(message))
+                await peer_stream.stream.send(
+                    self._claim_router.on_outcome(message)
+                )
             case messages.ClaimReply() | messages.Done():
                 self._on_reply(message)
             case (
@@ -328,26 +332,28 @@
             ):
                 answer = self._claim_group_manager.on_message(message)
                 if answer is not None:
-                    await one.stream.send(answer)
+                    await peer_stream.stream.send(answer)
             case messages.StateReply(request_id=request_id):
-                future = self._states.pop(request_id, None)
+                future = self._state_futures.pop(request_id, None)
                 if future is not None and not future.done():
                     future.set_result(message.snapshot)
 
-    def _on_heartbeat(self, one: _Open, heartbeat: messages.Heartbeat) -> None:
-        one.link.zone = heartbeat.member.zone
+    def _on_heartbeat(
+        self, peer_stream: _PeerStream, heartbeat: messages.Heartbeat
+    ) -> None:
+        peer_stream.versions.zone = heartbeat.member.zone
         incarnation = heartbeat.member.incarnation
         instance = incarnation.instance
-        earlier = self._membership.known().get(instance)
+        previous = self._membership.known().get(instance)
         if (
-            earlier is not None
-            and earlier.incarnation.started
-            and earlier.incarnation != incarnation
+            previous is not None
+            and previous.incarnation.started
+            and previous.incarnation != incarnation
         ):
             # Another process answers at the instance's address.
-            self._claim_group_manager.on_peer_death(earlier.incarnation)
-        self._heard[instance] = heartbeat
-        self._remember(heartbeat.member)
+            self._claim_group_manager.on_peer_death(previous.incarnation)
+        self._last_heartbeats[instance] = heartbeat
+        self._remember_member(heartbeat.member)
         self._contact_tracker.on_heartbeat(heartbeat)
         self._claim_group_manager.on_peer_heartbeat(incarnation)
         changes = self._membership.on_heartbeat(
@@ -359,8 +365,8 @@
                 f"{instance} is {change.state.value}",
             )
 
-    def _on_item(self, one: _Open, item: gossip.Item) -> None:
-        one.link.mark_known(item)
+    def _on_item(self, peer_stream: _PeerStream, item: gossip.Item) -> None:
+        peer_stream.versions.mark_known(item)
         if not self._store.put(item):
             return
         if not item.key.startswith(VOTE_PREFIX):
@@ -373,24 +379,29 @@
 
     async def _send_all(self) -> None:
         await asyncio.gather(
-            *(self._send_one(one) for one in list(self._open.values()))
+            *(
+                self._send_to(peer_stream)
+                for peer_stream in list(self._peer_streams.values())
+            )
         )
 
-    async def _send_one(self, one: _Open) -> None:
+    async def _send_to(self, peer_stream: _PeerStream) -> None:
         with contextlib.suppress(streams.StreamClosedError):
-            await self._send_heartbeat(one)
-            news = self._store.delta_for(one.link, ITEMS_PER_MESSAGE)
-            if news:
-                message = gossip.Items(tuple(news))
-                self.bytes_sent += await one.stream.send(message)
-
-    async def _send_heartbeat(self, one: _Open) -> None:
-        self._count += 1
-        instance = one.link.peer
-        self._contact_tracker.record_sent(instance, self._count)
+            await self._send_heartbeat(peer_stream)
+            new_items = self._store.delta_for(
+                peer_stream.versions, ITEMS_PER_MESSAGE
+            )
+            if new_items:
+                message = gossip.Items(tuple(new_items))
+                self.bytes_sent += await peer_stream.stream.send(message)
+
+    async def _send_heartbeat(self, peer_stream: _PeerStream) -> None:
+        self._heartbeat_count += 1
+        instance = peer_stream.versions.peer
+        self._contact_tracker.record_sent(instance, self._heartbeat_count)
         heartbeat = messages.Heartbeat(
             self._me,
-            self._count,
+            self._heartbeat_count,
             self._replica.state.next_offset,
             self._replica.state.config.state.version,
             self.log_reachable,
@@ -398,19 +409,19 @@
             self._contact_tracker.echo_for(instance),
             self._claim_group_manager.isolated_claim_count,
         )
-        self.bytes_sent += await one.stream.send(heartbeat)
+        self.bytes_sent += await peer_stream.stream.send(heartbeat)
 
     async def fetch_state(self) -> bool:
         """Asks peers for the replayed state; tells whether one helped."""
-        for one in list(self._open.values()):
+        for peer_stream in list(self._peer_streams.values()):
             request_id = uuid.uuid4().hex
             future = asyncio.get_running_loop().create_future()
-            self._states[request_id] = future
+            self._state_futures[request_id] = future
             try:
-                await one.stream.send(messages.StateRequest(request_id))
-                snapshot = await asyncio.wait_for(future, STATE_WAIT_S)
+                await peer_stream.stream.send(messages.StateRequest(request_id))
+                snapshot = await asyncio.wait_for(future, STATE_TIMEOUT_S)
             except (streams.StreamClosedError, TimeoutError):
-                self._states.pop(request_id, None)
+                self._state_futures.pop(request_id, None)
                 continue
             if (
                 snapshot is not None
@@ -418,7 +429,7 @@
             ):
                 self._logger.info(
                     "state is taken from a peer",
-                    peer=one.link.peer,
+                    peer=peer_stream.versions.peer,
                     offset=snapshot.upto,
                 )
                 self.add_replayed_members()
@@ -430,36 +441,36 @@
         now_ms = self._clock.monotonic_ms()
         for member in self._replica.state.members.values():
             self._membership.add_member(member, now_ms)
-            self._remember(member)
+            self._remember_member(member)
 
-    def _remember(self, member: data.Member) -> None:
-        self._addresses[member.incarnation] = member
-        while len(self._addresses) > ADDRESSES_KEPT:
-            self._addresses.pop(next(iter(self._addresses)))
+    def _remember_member(self, member: data.Member) -> None:
+        self._last_known_members[member.incarnation] = member
+        while len(self._last_known_members) > MAX_REMEMBERED_MEMBERS:
+            self._last_known_members.pop(next(iter(self._last_known_members)))
 
-    async def _follow_list(self) -> None:
+    async def _poll_instance_list(self) -> None:
         while True:
             result = await asyncio.to_thread(self._instances.read)
             now_ms = self._clock.monotonic_ms()
-            for line in result.value_or([]):
-                self._introduce_listed(line, now_ms)
-            await asyncio.sleep(INSTANCES_S)
+            for listed in result.value_or([]):
+                self._add_listed_instance(listed, now_ms)
+            await asyncio.sleep(INSTANCE_LIST_INTERVAL_S)
 
-    def _introduce_listed(
-        self, line: instances_http.ListedInstance, now_ms: int
+    def _add_listed_instance(
+        self, listed: instances_http.ListedInstance, now_ms: int
     ) -> None:
         # The list lags, so it only names addresses to try. The incarnation
         # is learnt from the peer itself.
-        if line.instance in self._membership.known() or line.leaving:
+        if listed.instance in self._membership.known() or listed.leaving:
             return
-        unknown = data.Incarnation(line.instance, "")
-        member = data.Member(unknown, line.zone, "", line.address)
+        unknown = data.Incarnation(listed.instance, "")
+        member = data.Member(unknown, listed.zone, "", listed.address)
         self._membership.add_member(member, now_ms)
 
     def _on_event(self, event: replay.AppliedRecord) -> None:
         record_name = type(event.record).__name__
         if record_name == "MemberJoined":
-            self._remember(event.record.member)
+            self._remember_member(event.record.member)
             self._membership.add_member(
                 event.record.member, self._clock.monotonic_ms()
             )
--- a/sesamecross/steward/placement_controller.py
+++ b/sesamecross/steward/placement_controller.py
@@ -28,11 +28,11 @@
 from sesamecross.steward import log_reader
 from sesamecross.steward import log_writer
 
-RESEND_MS = 3000
-WATCH_S = 0.1
-HEAR_MS = 5000
-_LOADS_MODEL = data.OrderAction.LOAD_MODEL
-_LOADS_ADAPTER = data.OrderAction.LOAD_ADAPTER
+RESEND_INTERVAL_MS = 3000
+POLL_INTERVAL_S = 0.1
+INITIAL_REPORT_TIMEOUT_MS = 5000
+_LOAD_MODEL = data.OrderAction.LOAD_MODEL
+_LOAD_ADAPTER = data.OrderAction.LOAD_ADAPTER
 
 
 class PlacementController:
@@ -41,7 +41,7 @@
     __slots__ = (
         "_me",
         "_replica",
-        "_lease",
+        "_lease_manager",
         "_reader",
         "_writer",
         "_engine_poller",
@@ -49,8 +49,8 @@
         "_demand_tracker",
         "_clock",
         "_recorder",
-        "_plan_s",
-        "_busy",
+        "_plan_interval_s",
+        "_move_tasks",
         "_locks",
         "_next_load_ms",
         "_planning_since_ms",
@@ -75,7 +75,7 @@
     ):
         self._me = me
         self._replica = replica
-        self._lease = lease
+        self._lease_manager = lease
         self._reader = reader
         self._writer = writer
         self._engine_poller = engine_poller
@@ -83,8 +83,8 @@
         self._demand_tracker = demand_tracker
         self._clock = clock
         self._recorder = recorder
-        self._plan_s = plan_ms / 1000
-        self._busy: dict[tuple[str, str], asyncio.Task] = {}
+        self._plan_interval_s = plan_ms / 1000
+        self._move_tasks: dict[tuple[str, str], asyncio.Task] = {}
         self._locks: dict[str, asyncio.Lock] = {}
         self._next_load_ms = 0
         self._planning_since_ms: int | None = None
@@ -100,17 +100,17 @@
     async def run(self) -> None:
         """Plans and moves until cancelled."""
         while True:
-            await asyncio.sleep(self._plan_s)
-            lease = self._lease.held()
+            await asyncio.sleep(self._plan_interval_s)
+            lease = self._lease_manager.held_lease()
             if lease is None or not self._reader.reachable:
                 continue
-            self._watch_inherited()
-            if not self._has_heard_of_all():
+            self._settle_inherited()
+            if not self._has_all_reports():
                 continue
-            plan = placement.plan(self.inputs())
-            self._note_shortfalls(plan.shortfalls)
+            plan = placement.plan(self.plan_inputs())
+            self._publish_shortfalls(plan.shortfalls)
             for move in plan.moves:
-                self._begin(move, lease.offset)
+                self._start_move(move, lease.offset)
 
     async def stop(self) -> None:
         """Lets moves that were written down be sent and then settled.
@@ -118,13 +118,13 @@
         What can't be settled in time stays on the log as unresolved, and
         the next holder settles it.
         """
-        tasks = list(self._busy.values())
+        tasks = list(self._move_tasks.values())
         if tasks:
             await asyncio.wait(tasks, timeout=2.0)
-        for task in self._busy.values():
+        for task in self._move_tasks.values():
             task.cancel()
 
-    def _has_heard_of_all(self) -> bool:
+    def _has_all_reports(self) -> bool:
         """Tells whether each engine has been asked since this start.
 
         Before that a plan would see room nowhere and models nowhere.
@@ -132,7 +132,7 @@
         now_ms = self._clock.monotonic_ms()
         if self._planning_since_ms is None:
             self._planning_since_ms = now_ms
-        if now_ms - self._planning_since_ms >= HEAR_MS:
+        if now_ms - self._planning_since_ms >= INITIAL_REPORT_TIMEOUT_MS:
             return True
         engines = self._replica.state.config.declarations.engines()
         return all(
@@ -140,7 +140,7 @@
             for engine in engines
         )
 
-    def inputs(self) -> placement.Inputs:
+    def plan_inputs(self) -> placement.Inputs:
         """Returns what a plan is made from now."""
         state = self._replica.state
         declarations = state.config.declarations
@@ -161,7 +161,7 @@
             declarations, self._me.zone, accounts, self._demand_tracker.rates()
         )
 
-    def _note_shortfalls(
+    def _publish_shortfalls(
         self, shortfalls: tuple[placement.Shortfall, ...]
     ) -> None:
         if shortfalls == self.shortfalls:
@@ -180,25 +180,25 @@
                 model=shortfall.name,
             )
 
-    def _begin(self, move: placement.Move, lease: int) -> None:
+    def _start_move(self, move: placement.Move, lease_offset: int) -> None:
         key = (move.upstream, move.target)
-        if key in self._busy or not self._within_budget(move):
+        if key in self._move_tasks or not self._within_budget(move):
             return
-        task = asyncio.create_task(self._carry_out(move, lease))
-        self._busy[key] = task
-        task.add_done_callback(lambda _: self._busy.pop(key, None))
+        task = asyncio.create_task(self._execute_move(move, lease_offset))
+        self._move_tasks[key] = task
+        task.add_done_callback(lambda _: self._move_tasks.pop(key, None))
 
     def _within_budget(self, move: placement.Move) -> bool:
         store = self._replica.state.config.declarations.store
-        under_way = self._unresolved_of(move.action)
-        starting = sum(
-            1 for key in self._busy if not self._is_unresolved(key[1])
+        unresolved_count = self._count_unresolved(move.action)
+        starting_count = sum(
+            1 for key in self._move_tasks if not self._is_unresolved(key[1])
         )
-        if move.action is _LOADS_ADAPTER:
-            return under_way + starting < store.adapters_in_transit
-        if move.action is not _LOADS_MODEL:
+        if move.action is _LOAD_ADAPTER:
+            return unresolved_count + starting_count < store.adapters_in_transit
+        if move.action is not _LOAD_MODEL:
             return True
-        if under_way + starting >= store.full_speed_loads:
+        if unresolved_count + starting_count >= store.full_speed_loads:
             return False
         now_ms = self._clock.monotonic_ms()
         if now_ms < self._next_load_ms:
@@ -212,7 +212,7 @@
         self._next_load_ms = now_ms + int(interval_ms)
         return True
 
-    def _unresolved_of(self, action: data.OrderAction) -> int:
+    def _count_unresolved(self, action: data.OrderAction) -> int:
         unresolved = self._replica.state.intents.unresolved.values()
         return sum(1 for i in unresolved if i.order.action is action)
 
@@ -220,33 +220,35 @@
         unresolved = self._replica.state.intents.unresolved.values()
         return any(i.order.target == target for i in unresolved)
 
-    async def _carry_out(self, move: placement.Move, lease: int) -> None:
+    async def _execute_move(
+        self, move: placement.Move, lease_offset: int
+    ) -> None:
         upstream = self._replica.state.config.declarations.upstreams[
             move.upstream
         ]
         lock = self._locks.setdefault(move.upstream, asyncio.Lock())
         async with lock:
-            intent = await self._write_intent(move, upstream, lease)
+            intent = await self._write_intent(move, upstream, lease_offset)
             if intent is None:
                 return
             await self._send(intent, upstream)
         await self._settle(intent, upstream)
 
     async def _write_intent(
-        self, move: placement.Move, upstream: data.Upstream, lease: int
+        self, move: placement.Move, upstream: data.Upstream, lease_offset: int
     ) -> intents.Intent | None:
         """Writes the order down; returns it once it may be sent."""
         status = await self._engine_poller.poll(upstream)
         if status is None or status.report.leaving:
             return None
-        self._resolve_by(status, upstream)
+        self._resolve_proved_orders(status, upstream)
         account = ledger.account(
             upstream.memory_mib,
             status.report,
             intents.of_upstream(self._replica.state.intents, upstream.name),
             ledger.sizes_of(self._replica.state.config.declarations),
         )
-        if not _still_holds(move, account):
+        if not _is_still_valid(move, account):
             return None
         order = data.Order(
             uuid.uuid4().hex,
@@ -257,7 +259,7 @@
             move.version,
             move.memory_mib,
         )
-        record = records.IntentWritten(self._me.zone, lease, order)
+        record = records.IntentWritten(self._me.zone, lease_offset, order)
         future = self._replica.result_future(record)
         try:
             self._writer.submit(record)
@@ -289,12 +291,12 @@
         result = await asyncio.to_thread(
             self._engines.send_order, upstream.url, intent.order, intent.fence
         )
-        word = "no answer"
+        answer = "no answer"
         if isinstance(result, Success):
-            word = result.unwrap().value
+            answer = result.unwrap().value
         self._recorder.add(
             timeline.EventKind.ORDER,
-            f"{intent.order.action.value} sent, fence {intent.fence}: {word}",
+            f"{intent.order.action.value} sent, fence {intent.fence}: {answer}",
             model=intent.order.target,
             upstream=upstream.name,
         )
@@ -305,16 +307,16 @@
         """Watches the engine until the order's outcome is proved."""
         sent_ms = self._clock.monotonic_ms()
         while self._is_open(intent):
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             status = await self._engine_poller.poll(upstream)
             if status is None:
                 continue
-            self._resolve_by(status, upstream)
-            known = intent.order.order_id in status.orders
+            self._resolve_proved_orders(status, upstream)
+            is_known = intent.order.order_id in status.orders
             now_ms = self._clock.monotonic_ms()
-            if known or now_ms - sent_ms < RESEND_MS:
+            if is_known or now_ms - sent_ms < RESEND_INTERVAL_MS:
                 continue
-            if self._lease.held() is None:
+            if self._lease_manager.held_lease() is None:
                 return
             # The order was lost on its way. The engine does nothing for an
             # order id that it has seen, so sending it again is safe.
@@ -324,7 +326,7 @@
     def _is_open(self, intent: intents.Intent) -> bool:
         return intent.order.order_id in self._replica.state.intents.unresolved
 
-    def _watch_inherited(self) -> None:
+    def _settle_inherited(self) -> None:
         """Settles intents that an earlier holder left behind."""
         state = self._replica.state
         for intent in list(state.intents.unresolved.values()):
@@ -332,17 +334,19 @@
                 continue
             key = (intent.order.upstream, intent.order.target)
             upstream = state.config.declarations.upstreams.get(key[0])
-            if key in self._busy or upstream is None:
+            if key in self._move_tasks or upstream is None:
                 continue
             task = asyncio.create_task(self._settle(intent, upstream))
-            self._busy[key] = task
-            task.add_done_callback(lambda _, key=key: self._busy.pop(key, None))
+            self._move_tasks[key] = task
+            task.add_done_callback(
+                lambda _, key=key: self._move_tasks.pop(key, None)
+            )
 
-    def _resolve_by(
+    def _resolve_proved_orders(
         self, status: engine_http.EngineStatus, upstream: data.Upstream
     ) -> None:
         """Writes down each outcome that the status proves."""
-        if self._lease.held() is None:
+        if self._lease_manager.held_lease() is None:
             return
         state = self._replica.state
         for intent in intents.of_upstream(state.intents, upstream.name):
@@ -366,7 +370,7 @@
             )
 
 
-def _still_holds(move: placement.Move, account: ledger.Account) -> bool:
+def _is_still_valid(move: placement.Move, account: ledger.Account) -> bool:
     if move.action.loads:
         fits = move.memory_mib <= account.free_mib
         return fits and move.target not in account.held
--- a/sesamecross/steward/server.py
+++ b/sesamecross/steward/server.py
@@ -17,40 +17,45 @@
 from sesamecross.steward import peer_links as peer_links_lib
 from sesamecross.transport import streams
 
-EVENTS_WAIT_S = 2.0
+EVENTS_TIMEOUT_S = 2.0
 MAX_CONNECTIONS = 500
 
 
 class EntrySession:
     """The stream to the entry on the same instance."""
 
-    __slots__ = ("stream", "version", "claims", "_events")
+    __slots__ = (
+        "stream",
+        "acknowledged_version",
+        "unsettled_claims",
+        "_event_futures",
+    )
 
     def __init__(self, stream: streams.Stream):
         self.stream = stream
-        self.version = -1
+        self.acknowledged_version = -1
         # Claims won for this entry whose outcome it has not told.
-        self.claims: set[str] = set()
-        self._events: dict[str, asyncio.Future] = {}
+        self.unsettled_claims: set[str] = set()
+        self._event_futures: dict[str, asyncio.Future] = {}
 
     async def events(self, limit: int, call_id: str) -> list | None:
         """Returns the entry's events, or None if it does not answer."""
         request_id = uuid.uuid4().hex
         future = asyncio.get_running_loop().create_future()
-        self._events[request_id] = future
+        self._event_futures[request_id] = future
         try:
             await self.stream.send(
                 messages.EventsRequest(request_id, limit, call_id)
             )
-            return list(await asyncio.wait_for(future, EVENTS_WAIT_S))
+            return list(await asyncio.wait_for(future, EVENTS_TIMEOUT_S))
         except (streams.StreamClosedError, TimeoutError):
             return None
         finally:
-            self._events.pop(request_id, None)
+            self._event_futures.pop(request_id, None)
 
     def on_events(self, reply: messages.EventsReply) -> None:
         """Takes in the entry's answer."""
-        future = self._events.get(reply.request_id)
+        future = self._event_futures.get(reply.request_id)
         if future is not None and not future.done():
             future.set_result(reply.events)
 
@@ -79,7 +84,9 @@
         self._connections = 0
         self._tasks: set[asyncio.Task] = set()
         self.entry: EntrySession | None = None
-        self.on_entry: Callable[[EntrySession], Awaitable[None]] | None = None
+        self.on_entry_connected: (
+            Callable[[EntrySession], Awaitable[None]] | None
+        ) = None
 
     # Others take a refused connection for a proof that this process is gone,
     # so it must not live on without listening.
@@ -145,15 +152,15 @@
         self.entry = session
         self._logger.info("entry is connected", entry=stream.hello.name)
         try:
-            if self.on_entry is not None:
-                await self.on_entry(session)
+            if self.on_entry_connected is not None:
+                await self.on_entry_connected(session)
             while True:
                 message = await stream.receive()
                 self._spawn(self._on_entry_message(session, message))
         finally:
             if self.entry is session:
                 self.entry = None
-            self._claim_router.settle_abandoned(session.claims)
+            self._claim_router.settle_abandoned(session.unsettled_claims)
             self._logger.info("entry is gone", entry=stream.hello.name)
 
     def _spawn(self, work: Awaitable[None]) -> None:
@@ -167,7 +174,7 @@
         with contextlib.suppress(streams.StreamClosedError):
             match message:
                 case messages.ClaimRequest(request_id=request_id):
-                    session.claims.add(message.claim.claim_id)
+                    session.unsettled_claims.add(message.claim.claim_id)
                     verdict = await self._claim_router.claim(message.claim)
                     await session.stream.send(
                         messages.ClaimReply(request_id, verdict)
@@ -178,11 +185,11 @@
                         messages.ClaimReply(request_id, verdict)
                     )
                 case messages.ClaimOutcome(request_id=request_id):
-                    session.claims.discard(message.settled.claim_id)
+                    session.unsettled_claims.discard(message.settled.claim_id)
                     ok = await self._claim_router.settle(message.settled)
                     await session.stream.send(messages.Done(request_id, ok))
                 case messages.ViewTaken(version=version):
-                    session.version = version
+                    session.acknowledged_version = version
                 case messages.DemandReport():
                     self._on_demand(message)
                 case messages.EventsReply():
@@ -194,20 +201,22 @@
                 case messages.StatusRequest(request_id=request_id):
                     await stream.send(self._status(request_id))
                 case messages.EventsRequest() as request:
-                    await stream.send(await self._collect(request))
+                    await stream.send(await self._collect_events(request))
 
-    async def _collect(
+    async def _collect_events(
         self, request: messages.EventsRequest
     ) -> messages.EventsReply:
-        own = self._recorder.events(request.limit, request.call_id)
-        events: list = list(own)
+        own_events = self._recorder.events(request.limit, request.call_id)
+        events: list = list(own_events)
         missing: tuple[str, ...] = ()
-        of_entry = None
+        entry_events = None
         if self.entry is not None:
-            of_entry = await self.entry.events(request.limit, request.call_id)
-        if of_entry is None:
+            entry_events = await self.entry.events(
+                request.limit, request.call_id
+            )
+        if entry_events is None:
             missing = (f"entry beside {self._recorder.process}",)
         plain = [timeline.to_plain(event) for event in events]
         return messages.EventsReply(
-            request.request_id, tuple(plain + (of_entry or [])), missing
+            request.request_id, tuple(plain + (entry_events or [])), missing
         )
--- a/sesamecross/steward/snapshotter.py
+++ b/sesamecross/steward/snapshotter.py
@@ -30,9 +30,9 @@
         "_reader",
         "_writer",
         "_membership",
-        "_every",
+        "_interval_records",
         "_logger",
-        "_waits_for",
+        "_pending_offset",
     )
 
     def __init__(
@@ -42,16 +42,16 @@
         reader: log_reader.LogReader,
         writer: log_writer.LogWriter,
         membership: membership_lib.Membership,
-        every: int,
+        interval_records: int,
     ):
         self._me = me
         self._replica = replica
         self._reader = reader
         self._writer = writer
         self._membership = membership
-        self._every = every
+        self._interval_records = interval_records
         self._logger = logs.get_logger("snapshots")
-        self._waits_for = -1
+        self._pending_offset = -1
 
     @property
     def name(self) -> str:
@@ -72,20 +72,20 @@
         log_replica = self._replica.log_replica
         if not (self._reader.caught_up and self._writer.reachable):
             return False
-        if log_replica.last_snapshot_offset < self._waits_for:
+        if log_replica.last_snapshot_offset < self._pending_offset:
             # The own one is on its way.
             return False
-        behind = (
+        lag = (
             log_replica.state.next_offset - 1 - log_replica.last_snapshot_offset
         )
-        if behind < self._every:
+        if lag < self._interval_records:
             return False
         # Who is asked changes with the distance, so that a steward that does
         # not do its turn holds nothing up.
-        turn = behind // self._every
+        turn = lag // self._interval_records
         alive = self._membership.believed_alive()
-        first = rendezvous.top(f"snapshot/{turn}", alive, 1)
-        return first == [self._me.incarnation.instance]
+        appender = rendezvous.top(f"snapshot/{turn}", alive, 1)
+        return appender == [self._me.incarnation.instance]
 
     def _append(self) -> None:
         snapshot: records.StateSnapshot = replay.snapshot(self._replica.state)
@@ -93,7 +93,7 @@
             self._writer.submit_alone(snapshot)
         except log_writer.QueueFullError:
             return
-        self._waits_for = snapshot.upto
+        self._pending_offset = snapshot.upto
         self._logger.info(
             "snapshot is appended",
             offset=snapshot.upto,
--- a/sesamecross/steward/view_sender.py
+++ b/sesamecross/steward/view_sender.py
@@ -17,7 +17,7 @@
 from sesamecross.steward import server as server_lib
 from sesamecross.transport import streams
 
-PERIOD_S = 0.1
+CHECK_INTERVAL_S = 0.1
 
 
 class ViewSender:
@@ -29,10 +29,10 @@
         "_reader",
         "_server",
         "_membership",
-        "_number",
-        "_sent_version",
-        "_sent",
-        "_signs",
+        "_view_number",
+        "_last_version",
+        "_last_view",
+        "_last_inputs",
         "is_ready",
     )
 
@@ -49,12 +49,12 @@
         self._engine_poller = engine_poller
         self._reader = reader
         self._server = server
-        self._number = 0
-        self._sent_version = -1
-        self._sent: data.View | None = None
-        self._signs: tuple = ()
+        self._view_number = 0
+        self._last_version = -1
+        self._last_view: data.View | None = None
+        self._last_inputs: tuple = ()
         self.is_ready = False
-        server.on_entry = self._on_entry
+        server.on_entry_connected = self._on_entry_connected
 
     @property
     def name(self) -> str:
@@ -64,47 +64,49 @@
     async def run(self) -> None:
         """Sends changed views until cancelled."""
         while True:
-            await asyncio.sleep(PERIOD_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             if self._server.entry is not None and self.is_ready:
                 await self._send_if_changed(self._server.entry)
 
     async def stop(self) -> None:
         """Nothing is open between views."""
 
-    async def _on_entry(self, _session: server_lib.EntrySession) -> None:
+    async def _on_entry_connected(
+        self, _session: server_lib.EntrySession
+    ) -> None:
         # A new entry knows nothing yet.
-        self._sent_version = -1
-        self._sent = None
+        self._last_version = -1
+        self._last_view = None
 
     async def _send_if_changed(self, session: server_lib.EntrySession) -> None:
         config = self._replica.state.config.state
-        signs = (
+        inputs = (
             self._engine_poller.change_count,
             config.version,
             tuple(sorted(self._replica.state.draining)),
             self._reader.reachable,
             len(self._membership.believed_alive()),
         )
-        if signs == self._signs and self._sent is not None:
+        if inputs == self._last_inputs and self._last_view is not None:
             # Nothing that a view is made of has changed.
             return
-        self._signs = signs
-        tree = config.tree if config.version != self._sent_version else None
+        self._last_inputs = inputs
+        tree = config.tree if config.version != self._last_version else None
         view = data.View(
             0,
             config.version,
             tree,
             tuple(self._engine_poller.reports()),
-            *signs[2:],
+            *inputs[2:],
         )
-        if view == self._sent:
+        if view == self._last_view:
             return
-        self._number += 1
-        numbered = dataclasses.replace(view, number=self._number)
+        self._view_number += 1
+        numbered = dataclasses.replace(view, number=self._view_number)
         try:
             await session.stream.send(messages.ViewUpdate(numbered))
         except streams.StreamClosedError:
-            self._signs = ()
+            self._last_inputs = ()
             return
-        self._sent_version = config.version
-        self._sent = dataclasses.replace(view, tree=None)
+        self._last_version = config.version
+        self._last_view = dataclasses.replace(view, tree=None)
