--- a/sesamecross/steward/__init__.py
+++ b/sesamecross/steward/__init__.py
@@ -1,1 +1,1 @@
-"""The process that follows the log, keeps membership and plans placement."""
+"""The steward process: log replay, membership, claims and placement."""
--- a/sesamecross/steward/app.py
+++ b/sesamecross/steward/app.py
@@ -1,4 +1,4 @@
-"""The steward's application object: owns its parts, their start and end."""
+"""The steward's application object, which owns its components."""
 
 import asyncio
 import os
@@ -42,7 +42,7 @@
 
 
 class StewardApp:
-    """Everything that one steward process owns."""
+    """Owns all components of one steward process."""
 
     def __init__(
         self, settings: settings_lib.StewardSettings, clock: clock_lib.Clock
@@ -69,11 +69,11 @@
     def from_settings(
         cls, settings: settings_lib.StewardSettings
     ) -> "StewardApp":
-        """Returns an application on the machine's clock."""
+        """Returns an application that uses the system clock."""
         return cls(settings, clock_lib.SystemClock())
 
     def components(self) -> list[supervisor.Component]:
-        """Returns the parts in the order of their start."""
+        """Returns the components in start order."""
         settings = self._settings
         self._log = log_http.HttpLog(settings.log_url)
         self._store = gossip.ItemStore(settings.zone)
@@ -208,7 +208,11 @@
         ]
 
     async def drain(self) -> None:
-        """Leaves: the lease is given back and the leave is on the log."""
+        """Shuts down as planned.
+
+        Releases the lease, waits until the claim groups can do without this
+        steward, and appends MemberLeft to the log.
+        """
         self.peer_links.leaving = True
         self.claim_group_manager.leaving = True
         await self.placement_controller.stop()
@@ -217,7 +221,7 @@
             handed_over = await self.claim_group_manager.wait_until_handed_over(
                 HANDOVER_TIMEOUT_S
             )
-            self._logger.info("claims are handed over", done=handed_over)
+            self._logger.info("claim groups are handed over", done=handed_over)
         try:
             if self.writer.reachable:
                 self.writer.submit(records.MemberLeft(self.me.incarnation))
@@ -225,10 +229,12 @@
                 self.writer.wait_until_flushed(), LEAVE_TIMEOUT_S
             )
         except (TimeoutError, log_writer.QueueFullError):
-            self._logger.warning("the log is away, leaving without a record")
+            self._logger.warning(
+                "log is unreachable, leaving without a MemberLeft record"
+            )
 
     def status(self, request_id: str) -> messages.StatusReply:
-        """Returns what operators see of this steward."""
+        """Returns this steward's status for operators."""
         state = self.replica.state
         unresolved = tuple(
             (
@@ -303,7 +309,7 @@
                     f" {verdict.outcome.value}, version {verdict.version}",
                 )
                 self._logger.info(
-                    "configuration change is judged",
+                    "configuration change is decided",
                     change_id=change_id,
                     outcome=verdict.outcome.value,
                     version=verdict.version,
--- a/sesamecross/steward/app_test.py
+++ b/sesamecross/steward/app_test.py
@@ -1,4 +1,4 @@
-"""Tests of the steward's planned stop."""
+"""Tests of the steward's planned shutdown."""
 
 import asyncio
 
@@ -23,18 +23,17 @@
 
 
 @pytest.mark.parametrize("holds_lease", [True, False])
-def test_a_planned_stop_goes_to_its_end_with_a_full_queue(
-    monkeypatch, holds_lease
-):
-    """A steward that was stopped by plan ended with code 1 and a traceback.
-
-    The log had been away for so long that the queue for it was full. The
-    record that gives the lease back, or that of the leave, did not fit; the
-    error went through the drain, and no component was stopped in order. Now
-    it is logged: the lease lapses, and the refused address proves the end.
+def test_drain_completes_with_a_full_log_queue(monkeypatch, holds_lease):
+    """Guards against a drain that fails while the log queue is full.
+
+    After a long log outage, LeaseReleased or MemberLeft raised
+    QueueFullError. The error ended the drain: no component was stopped in
+    order, and the process exited with code 1 and a traceback. The error must
+    be logged instead; the lease then expires, and the refused address proves
+    to peers that the process has exited.
     """
 
-    async def story():
+    async def drain_with_full_queue():
         app = app_lib.StewardApp.from_settings(SETTINGS)
         app.components()
         lease = leases.Lease("z", app.me.incarnation, 1)
@@ -50,4 +49,4 @@
         await app.drain()
         return app.peer_links.leaving
 
-    assert asyncio.run(story())
+    assert asyncio.run(drain_with_full_queue())
--- a/sesamecross/steward/bootstrapper.py
+++ b/sesamecross/steward/bootstrapper.py
@@ -1,8 +1,8 @@
-"""How a steward starts: from the log, from peers, or waiting honestly.
+"""Obtains a steward's initial state: from the log or from a peer.
 
-Why: instances keep nothing. With the log up, the log is the source; with the
-log down, a peer's replayed state is; with neither, the steward waits and
-says so, and its entry refuses instead of guessing.
+Instances store nothing. The state comes from the log, or from a peer's replayed
+state while the log is down. With neither, the steward waits and logs it, and
+its entry refuses calls instead of serving without state.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 class Bootstrapper:
-    """Component that makes the steward ready, and mends gaps later."""
+    """Component that makes the steward ready and later closes log gaps."""
 
     __slots__ = ("_app", "_logger", "_has_gap", "_joined")
 
@@ -29,19 +29,19 @@
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The component's name in logs."""
         return "starter"
 
     def bind(self, app: Any) -> None:
-        """Names the application whose start this is."""
+        """Sets the application to make ready."""
         self._app = app
 
     def on_gap(self) -> None:
-        """The log has expired what this replica would need next."""
+        """Notes that the log has expired the records needed next."""
         self._has_gap = True
 
     async def run(self) -> None:
-        """Gets the steward ready, then watches for gaps."""
+        """Makes the steward ready, then watches for log gaps."""
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         has_warned = False
@@ -57,13 +57,13 @@
             elif waited_s > 3 * PEER_FETCH_DELAY_S and not has_warned:
                 has_warned = True
                 self._logger.warning(
-                    "neither the log nor a peer gives the state;"
+                    "no state from the log or a peer;"
                     " waiting, nothing is served"
                 )
         await self._watch_for_gaps()
 
     async def stop(self) -> None:
-        """Nothing to finish."""
+        """Does nothing: no work is open."""
 
     async def _watch_for_gaps(self) -> None:
         while True:
@@ -76,7 +76,7 @@
                 await app.peer_links.fetch_state()
 
     def _join(self) -> None:
-        """Introduces this incarnation once the log can be appended to."""
+        """Submits MemberJoined once the replica has caught up with the log."""
         app = self._app
         if self._joined or not app.reader.caught_up:
             return
--- a/sesamecross/steward/claim_group_manager.py
+++ b/sesamecross/steward/claim_group_manager.py
@@ -1,8 +1,8 @@
-"""Runs this steward's part in the claim groups.
+"""Drives this steward's state machines of the claim groups.
 
-Why: the group is a plain state machine; here its actions become messages and
-appends, the log's events and peers' beats become its inputs, and this steward
-proposes the next epoch where that is its turn.
+`ClaimGroup` is a deterministic state machine. This component feeds it log
+events, heartbeats and time, carries out its actions as messages and appends,
+and proposes a zone's next epoch when it is this steward's turn.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 
 TICK_S = 0.05
 PROPOSAL_INTERVAL_MS = 500
-# A proposal that got no verdict for this long is thought over anew.
+# A proposal without a result at replay is evaluated again after this time.
 PROPOSAL_TIMEOUT_MS = 3000
 STARTUP_DELAY_MS = 1500
 
@@ -35,7 +35,7 @@
 
 
 class ClaimGroupManager:
-    """Component that owns the claim groups."""
+    """Component that owns the claim groups of all zones."""
 
     def __init__(
         self,
@@ -70,28 +70,28 @@
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The component's name in logs."""
         return "claim-group"
 
     @property
     def isolated_claim_count(self) -> int:
-        """Claims kept out of touch and not on the log, over all groups."""
+        """Claims of all groups kept while isolated and not yet on the log."""
         return sum(
             group.isolated_claim_count for group in self._groups.values()
         )
 
     async def run(self) -> None:
-        """Lets time pass until cancelled."""
+        """Ticks the groups until cancelled."""
         while True:
             await asyncio.sleep(TICK_S)
             if self.is_ready:
                 self._tick(self._clock.monotonic_ms())
 
     async def stop(self) -> None:
-        """Nothing is open between ticks."""
+        """Does nothing: no work is open between ticks."""
 
     async def wait_until_handed_over(self, timeout_s: float) -> bool:
-        """Waits until no group needs this steward any more."""
+        """Waits until no group needs this steward; tells whether none does."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 while self._is_needed():
@@ -99,17 +99,17 @@
         return not self._is_needed()
 
     def _is_needed(self) -> bool:
-        """Tells whether somebody could still take this steward's part."""
+        """Tells whether a group still needs this steward and can replace it."""
         me = self._me.incarnation
         cluster = self._cluster_view()
         successors = cluster.alive.keys() - cluster.leaving
         if not successors:
-            # The whole deployment stops; the log keeps the claims.
+            # The whole deployment is stopping; the log keeps the claims.
             return False
         for group in self._replica.state.groups.zones.values():
             current = group.current
             if current is None or me not in current.participants:
-                # Until the next epoch is sealed, it may ask this one.
+                # The next epoch may ask this steward until it is sealed.
                 if any(me in c.participants for c in group.chain):
                     return True
                 continue
@@ -117,7 +117,7 @@
                 return True
         return False
 
-    # -- time and the world ---
+    # -- time, log state and membership ---
 
     def _tick(self, now_ms: int) -> None:
         if self._ready_ms is None:
@@ -136,7 +136,7 @@
                 self._propose(now_ms)
 
     def _sync_groups(self, now_ms: int) -> None:
-        """Gives this steward a part in each zone's group that has one."""
+        """Creates a state machine for each new zone and updates their state."""
         state = self._replica.state
         if state is not self._state:
             self._state = state
@@ -158,14 +158,18 @@
                     )
 
     def on_peer_death(self, peer: data.Incarnation) -> None:
-        """A peer's address refuses, or another incarnation answers there."""
+        """Handles a proof of a peer's death.
+
+        The proof is a refused connection or another incarnation at the
+        peer's address.
+        """
         in_contact = self._contact_tracker.record_death(
             peer, claim_group.IN_CONTACT_MS
         )
         if in_contact is None:
             return
-        # Belief follows votes of watchers, and with a whole zone dead its
-        # watchers are dead too. The proof needs no vote.
+        # Suspicion needs votes of the peer's watchers, who are dead too if
+        # the whole zone is. A proof needs no vote.
         self._membership.remove(peer)
         if self._writer.reachable:
             self._submit((records.MemberLeft(peer, True, in_contact),))
@@ -174,7 +178,7 @@
     def _on_death_record(
         self, record: records.MemberLeft, peer: data.Incarnation
     ) -> None:
-        """Another steward's proof counts here too."""
+        """Handles a proof of death that another steward has logged."""
         if peer == self._me.incarnation:
             return
         known = self._contact_tracker.dead.get(peer)
@@ -184,7 +188,7 @@
 
     def _handle_death(self, peer: data.Incarnation, in_contact: bool) -> None:
         self._logger.info(
-            "a steward is dead", peer=peer.instance, in_contact=in_contact
+            "peer is dead", peer=peer.instance, in_contact=in_contact
         )
         self._recorder.add(
             timeline.EventKind.MEMBER,
@@ -196,7 +200,7 @@
             self._execute_actions(group.on_peer_death(peer, in_contact, now_ms))
 
     def on_peer_heartbeat(self, peer: data.Incarnation) -> None:
-        """A heartbeat came from a peer."""
+        """Passes a peer's heartbeat to the groups."""
         now_ms = self._clock.monotonic_ms()
         for group in self._groups.values():
             group.on_peer_heartbeat(peer, now_ms)
@@ -218,7 +222,7 @@
             )
             self._submit((change,))
             self._logger.info(
-                "epoch is proposed",
+                "epoch proposed",
                 zone=zone,
                 epoch=change.base_epoch + 1,
                 members=[m.instance for m in change.members],
@@ -234,7 +238,8 @@
         }
         if self.leaving:
             leaving.add(self._me.incarnation.instance)
-        # Named by the platform's list only; its incarnation is not known.
+        # Excludes members known only from the platform's instance list,
+        # whose incarnation is not known.
         known = {n: m for n, m in alive.items() if m.incarnation.started}
         return group_planner.ClusterView(
             known, frozenset(self._contact_tracker.dead), frozenset(leaving)
@@ -244,7 +249,7 @@
         return self._replica.state.config.declarations.callers
 
     def _release_homes(self) -> None:
-        """Lets go of callers whose declared home is another zone now."""
+        """Releases callers whose declared home zone has changed."""
         state = self._replica.state
         for caller, zone in state.groups.homes.items():
             declared = self._callers().get(caller)
@@ -258,7 +263,7 @@
                 continue
             epoch = group.config.epoch
             if self._releasing.get(caller) != (zone, epoch):
-                # From here on this leader refuses the caller's claims.
+                # From now on this leader refuses the caller's claims.
                 self._releasing[caller] = (zone, epoch)
                 self._submit((records.HomeReleased(caller, zone, epoch),))
 
@@ -287,11 +292,11 @@
                 )
 
     def on_message(self, message: object) -> object | None:
-        """Takes in a message of a group; returns an answer to its sender."""
+        """Handles a group message; returns the reply to its sender, if any."""
         group = self._groups.get(message.zone)
         now_ms = self._clock.monotonic_ms()
         if group is None:
-            # Not known here yet: the sender asks again until it is.
+            # The zone is not known here yet; the sender retries until it is.
             return None
         match message:
             case gm.ClaimAsk():
@@ -311,12 +316,17 @@
     # -- claims ---
 
     def leader_of(self, zone: str) -> data.Incarnation | None:
-        """Returns who decides a zone's claims now, if that is known."""
+        """Returns the current leader of a zone's group, or None if unknown."""
         group = self._groups.get(zone)
         return group.leader if group else None
 
     def claim(self, zone: str, record: records.ClaimMade) -> asyncio.Future:
-        """Begins to decide a claim here; returns a future of its verdict."""
+        """Starts to decide a claim here.
+
+        Returns:
+          A future of the verdict. It is None if the zone has no group here
+          or the caller is being released to another zone.
+        """
         future = self._verdict_futures.get(record.claim_id)
         if future is not None:
             return future
@@ -333,12 +343,12 @@
     def look_up(
         self, zone: str, record: records.ClaimMade
     ) -> data.ClaimVerdict | None:
-        """Returns what is known of the claim that holds a name."""
+        """Returns what is known of the claim under the record's name."""
         group = self._groups.get(zone)
         return group.look_up(record) if group else None
 
     def settle(self, zone: str, settled: records.ClaimSettled) -> bool:
-        """Takes in an outcome; tells whether it could be kept."""
+        """Records a claim's outcome; tells whether it could be kept."""
         group = self._groups.get(zone)
         if group is None:
             return self._submit((settled,))
@@ -378,14 +388,14 @@
                 " `sesamecross claims clear-doubt ZONE`",
             )
         self._recorder.add(timeline.EventKind.CLAIM, what)
-        self._logger.info("epoch is active", epoch=epoch, doubt=doubt)
+        self._logger.info("epoch activated", epoch=epoch, doubt=doubt)
 
     def _submit(self, entries: tuple[object, ...]) -> bool:
         try:
             self._writer.submit_atomically(entries)
         except log_writer.QueueFullError:
-            # The group's members go on keeping what they keep; records of
-            # claims in the dark are appended again with the next epoch.
-            self._logger.error("the queue for the log is full")
+            # The group's members retain their claims. Claims made while
+            # isolated are appended again with the next epoch.
+            self._logger.error("log append queue is full")
             return False
         return True
--- a/sesamecross/steward/claim_router.py
+++ b/sesamecross/steward/claim_router.py
@@ -1,8 +1,8 @@
-"""Answers the entry's requests about claims, wherever they are decided.
+"""Routes the entry's claim requests to the group that decides them.
 
-Why: a caller may reach any entry, but its claims are decided by the group of
-its home zone. This desk finds the group's leader and passes the request on;
-where the leader can't be reached the call is refused, never decided here.
+A caller may reach any entry, but its claims are decided by the group of its
+home zone. The router finds the group's leader and forwards the request. If
+the leader can't be reached the call is refused, never decided here.
 """
 
 import asyncio
@@ -23,18 +23,19 @@
 FORWARD_TIMEOUT_S = 3.0
 SETTLE_ATTEMPTS = 20
 SETTLE_RETRY_INTERVAL_S = 0.5
-# An entry that went away in the middle of a claimed call may come back with
-# its outcome; past this the outcome is written down as unknown.
+# An entry that disconnected during a claimed call may reconnect and report the
+# outcome. After this delay the outcome is recorded as unknown.
 ABANDONED_CLAIM_DELAY_S = 5.0
 
-# Sends a request to a steward and returns its reply, or None.
+# Sends a request with its id to a steward and waits for the reply, at most the
+# given seconds. Returns None without a reply.
 SendRequest = Callable[
     [data.Incarnation, object, str, float], Awaitable[object]
 ]
 
 
 class ClaimRouter:
-    """Finds who decides, asks, and passes outcomes on."""
+    """Finds the deciding leader and forwards claims and outcomes to it."""
 
     def __init__(
         self,
@@ -55,12 +56,12 @@
     def _home_zone(self, caller: str) -> str:
         return self._replica.state.groups.homes.get(caller, "")
 
-    # -- for the own entry -------------------------------------------------
+    # -- requests of the entry ----------------------------------------------
 
     async def claim(
         self, record: records.ClaimMade
     ) -> data.ClaimVerdict | None:
-        """Returns the verdict, or None where there is none to be had."""
+        """Claims a call; returns the verdict, or None if none was reached."""
         record = dataclasses.replace(record, holder=self._me)
         zone = self._home_zone(record.caller)
         self._claim_zones[record.claim_id] = zone
@@ -85,12 +86,18 @@
     async def look_up(
         self, record: records.ClaimMade
     ) -> data.ClaimVerdict | None:
-        """Returns what is known now of the claim that holds the name."""
+        """Returns what is known now of the claim under the record's name."""
         zone = self._home_zone(record.caller)
         return await self._decide(zone, record, only_look=True)
 
     async def settle(self, settled: records.ClaimSettled) -> bool:
-        """Passes an outcome on; tells whether the group keeps it."""
+        """Forwards an outcome to the leader, with retries.
+
+        If no leader accepts it, the outcome is appended to the log.
+
+        Returns:
+          True in every case.
+        """
         zone = self._claim_zones.get(settled.claim_id, "")
         for _ in range(SETTLE_ATTEMPTS):
             leader = self._claim_group_manager.leader_of(zone)
@@ -103,13 +110,16 @@
                 break
             await asyncio.sleep(SETTLE_RETRY_INTERVAL_S)
         else:
-            # Nobody of the group can be reached; the log is the last place.
+            # No leader could be reached; the log is the last resort.
             self._claim_group_manager.settle("", settled)
         self._claim_zones.pop(settled.claim_id, None)
         return True
 
     def settle_abandoned(self, claim_ids: set[str]) -> None:
-        """The entry went away without the outcome of these claims."""
+        """Settles claims of a disconnected entry after a delay.
+
+        Claims that are not settled by then get an unknown outcome.
+        """
         task = asyncio.create_task(self._settle_unknown(claim_ids))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -119,7 +129,8 @@
         for claim_id in claim_ids:
             if claim_id not in self._claim_zones:
                 continue
-            # It may have run or not: said to be unknown, never run again.
+            # The call may have run: the outcome is unknown, and it never
+            # runs again.
             unknown_outcome = records.ClaimSettled(claim_id, True, None)
             await self.settle(unknown_outcome)
 
@@ -145,7 +156,7 @@
     async def decide_locally(
         self, zone: str, record: records.ClaimMade, only_look: bool
     ) -> data.ClaimVerdict | None:
-        """Decides at this steward, which should be the leader."""
+        """Decides at this steward, which is the leader as far as is known."""
         if only_look:
             return self._claim_group_manager.look_up(zone, record)
         future = self._claim_group_manager.claim(zone, record)
@@ -177,24 +188,25 @@
         )
         return isinstance(reply, messages.Done) and reply.ok
 
-    # -- for other stewards ----------------------------------------------------
+    # -- requests of other stewards --------------------------------------------
 
     async def on_forward(self, forward: messages.ClaimForward) -> object:
-        """Decides for another steward; returns the reply."""
+        """Decides a claim for another steward; returns the reply."""
         verdict = await self.decide_locally(
             forward.zone, forward.claim, forward.only_look
         )
         return messages.ClaimReply(forward.request_id, verdict)
 
     def on_outcome(self, forward: messages.OutcomeForward) -> object:
-        """Keeps another steward's outcome; returns the reply."""
+        """Records an outcome for another steward; returns the reply."""
         ok = self._claim_group_manager.settle(forward.zone, forward.settled)
         return messages.Done(forward.request_id, ok)
 
     def cancel_claim(self, claim_id: str) -> None:
-        """A claim was won for somebody who does not wait any more.
+        """Settles a claim as not executed.
 
-        Its call was not dispatched and will not be.
+        It was won after its requester had stopped waiting, so its call has
+        not been dispatched and will not be.
         """
         task = asyncio.create_task(
             self.settle(records.ClaimSettled(claim_id, False, None))
--- a/sesamecross/steward/contact_tracker.py
+++ b/sesamecross/steward/contact_tracker.py
@@ -1,8 +1,8 @@
-"""Who was in touch with this steward, and who is proved dead.
+"""Tracks heartbeat acknowledgements and proofs of death of peers.
 
-Why: a claim group lets go of a member only on proof: its address refuses
-connections, or another incarnation answers there. Whether the member died
-while in touch is told by its last answer to a heartbeat of this steward.
+A claim group drops a member only on proof of its death: its address refuses
+connections, or another incarnation answers there. The member's last
+acknowledgement of a heartbeat tells whether it was in contact when it died.
 """
 
 from collections import deque
@@ -15,7 +15,12 @@
 
 
 class ContactTracker:
-    """Beats sent to each instance and what was heard of them."""
+    """Heartbeats sent to each instance and their acknowledgements.
+
+    Attributes:
+      dead: Incarnations proved dead; the value tells whether they died in
+        contact.
+    """
 
     __slots__ = (
         "_clock",
@@ -33,18 +38,18 @@
         self.dead: dict[data.Incarnation, bool] = {}
 
     def record_sent(self, instance: str, count: int) -> None:
-        """A heartbeat leaves for an instance."""
+        """Records that a heartbeat is sent to an instance."""
         heartbeats = self._sent_heartbeats.setdefault(
             instance, deque(maxlen=MAX_TRACKED_HEARTBEATS)
         )
         heartbeats.append((count, self._clock.monotonic_ms()))
 
     def echo_for(self, instance: str) -> int:
-        """Returns the last count heard from an instance."""
+        """Returns the count of the last heartbeat received from an instance."""
         return self._last_counts.get(instance, 0)
 
     def on_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
-        """A heartbeat came; it tells which of ours had arrived before."""
+        """Records a heartbeat; its echo acknowledges one of this steward."""
         incarnation = heartbeat.member.incarnation
         self._last_counts[incarnation.instance] = heartbeat.count
         is_clean = heartbeat.kept_in_dark == 0
@@ -57,14 +62,15 @@
     def record_death(
         self, incarnation: data.Incarnation, within_ms: int
     ) -> bool | None:
-        """Notes a proof of death.
+        """Records a proof of death.
 
         Args:
-          incarnation: Who is dead.
-          within_ms: How recent the last touch must be.
+          incarnation: The dead incarnation.
+          within_ms: Greatest age of the last acknowledged heartbeat, counted
+            from when it was sent, for a death in contact.
 
         Returns:
-          Whether it died in contact, or None if the proof is not news.
+          Whether it died in contact, or None if the death was known.
         """
         if incarnation in self.dead:
             return None
--- a/sesamecross/steward/demand_tracker.py
+++ b/sesamecross/steward/demand_tracker.py
@@ -1,7 +1,7 @@
-"""What callers ask for, as rates by model and adapter.
+"""Demand as request rates by model and adapter.
 
-Why: placement follows demand, which moves tenfold within an hour. Each
-steward smooths what its entry counted; the rates of all spread by gossip.
+Placement follows demand, which can change tenfold within an hour. Each
+steward smooths its entry's counts exponentially and gossips the rates.
 """
 
 import math
@@ -12,12 +12,12 @@
 
 DEMAND_PREFIX = "demand/"
 HALF_LIFE_MS = 20_000
-# Rates below this are noise of the smoothing and are dropped.
+# Calls per second; lower rates are residue of the smoothing and are dropped.
 MIN_RATE = 0.001
 
 
 class DemandTracker:
-    """Smooths one entry's counts and sums up those of all."""
+    """Smooths one entry's counts and sums the rates of all entries."""
 
     __slots__ = ("_me", "_store", "_recorder", "_rates")
 
@@ -33,7 +33,7 @@
         self._rates: dict[str, float] = {}
 
     def record_counts(self, calls: dict[str, int], interval_ms: int) -> None:
-        """Takes in an entry's counts and publishes the smoothed rates."""
+        """Adds an entry's counts and publishes the smoothed rates."""
         decay = math.exp2(-interval_ms / HALF_LIFE_MS)
         names = self._rates.keys() | calls.keys()
         rates = {}
@@ -57,7 +57,7 @@
         self._store.put(item)
 
     def rates(self) -> dict[str, float]:
-        """Returns calls a second over all entries, by name."""
+        """Returns calls per second over all entries, by name."""
         total: dict[str, float] = {}
         for item in self._store.with_prefix(DEMAND_PREFIX):
             if not isinstance(item.value, dict):
--- a/sesamecross/steward/engine_poller.py
+++ b/sesamecross/steward/engine_poller.py
@@ -1,8 +1,8 @@
-"""Asks upstreams how they are and spreads what they say.
+"""Polls engines and gossips their reports.
 
-Why: every entry needs residency and load of the upstreams, and upstreams run
-nothing of ours, so somebody must ask. Each upstream is asked by one steward
-of its zone, picked alike by all; the answer spreads by gossip.
+Every entry needs residency and load of the upstreams. Upstreams run no code of
+this project, so they have to be polled. One steward of the upstream's zone,
+chosen by rendezvous hashing, polls it; the report spreads by gossip.
 """
 
 import asyncio
@@ -19,16 +19,16 @@
 from sesamecross.utils import rendezvous
 
 REPORT_PREFIX = "report/"
-# An unreachable upstream is reported as such after this many tries.
+# Consecutive failed polls after which an upstream is reported unreachable.
 UNREACHABLE_AFTER_FAILURES = 3
-# An unchanged report is spread again after this long, in seconds. Entries
-# discount load that was reported long ago, so a busy upstream's comes sooner.
+# An unchanged report is published again after this interval. Entries discount
+# the load in old reports, so reports of busy upstreams are refreshed sooner.
 BUSY_REFRESH_S = 1.0
 IDLE_REFRESH_S = 5.0
 
 
 class EnginePoller:
-    """Component that polls this steward's share of the zone's engines."""
+    """Component that polls the engines assigned to this steward."""
 
     __slots__ = (
         "_me",
@@ -66,7 +66,7 @@
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The component's name in logs."""
         return "reporter"
 
     async def run(self) -> None:
@@ -79,7 +79,7 @@
             await asyncio.sleep(self._poll_interval_s)
 
     async def stop(self) -> None:
-        """Nothing is open between polls."""
+        """Does nothing: no work is open between polls."""
 
     def _assigned_upstreams(self) -> list[data.Upstream]:
         alive = self._membership.alive_in_zone()
@@ -94,7 +94,7 @@
     async def poll(
         self, upstream: data.Upstream
     ) -> engine_http.EngineStatus | None:
-        """Asks one engine now; returns its status, or None."""
+        """Polls one engine now; returns its status, or None if that failed."""
         result = await asyncio.to_thread(
             self._engines.status, upstream.name, upstream.url
         )
@@ -111,18 +111,18 @@
 
     @property
     def change_count(self) -> int:
-        """Grows with each report, own or heard of."""
+        """Grows with each gossip item, local or received."""
         return self._store.change_count
 
     def report_of(self, upstream: str) -> data.UpstreamReport | None:
-        """Returns the newest report that this steward knows."""
+        """Returns the newest known report of an upstream, or None."""
         plain = self._store.get(REPORT_PREFIX + upstream)
         if plain is None:
             return None
         return codec.from_plain(plain).value_or(None)
 
     def reports(self) -> list[data.UpstreamReport]:
-        """Returns the newest reports of all upstreams, sorted."""
+        """Returns the newest reports of all upstreams, sorted by upstream."""
         plains = [i.value for i in self._store.with_prefix(REPORT_PREFIX)]
         found = [codec.from_plain(plain).value_or(None) for plain in plains]
         return sorted(
@@ -131,7 +131,7 @@
         )
 
     def _publish(self, report: data.UpstreamReport) -> None:
-        """Spreads a report, if it says something new or the last is old."""
+        """Publishes a report that has changed or whose last copy is old."""
         without_sequence = dataclasses.replace(report, sequence=0)
         before, at_s = self._published.get(report.upstream, (None, 0.0))
         now_s = asyncio.get_running_loop().time()
--- a/sesamecross/steward/lease_manager.py
+++ b/sesamecross/steward/lease_manager.py
@@ -1,7 +1,7 @@
-"""Keeps or challenges the zone's placement lease.
+"""Renews or challenges the zone's placement lease.
 
-Why: one steward of a zone writes intents at a time. A lapse is noticed by
-the own monotonic clock; who holds the lease is decided on the log.
+One steward of a zone writes intents at a time. Expiry is detected with this
+process's monotonic clock; the order on the log decides who holds the lease.
 """
 
 import asyncio
@@ -21,13 +21,13 @@
 
 TICK_S = 0.1
 RANK_DELAY_MS = 500
-# A challenge that got no verdict for this long is written anew; the earlier
-# record, if it shows up, loses or wins by the same rule.
+# A challenge without a result at replay is written again after this time. The
+# same rule decides about the earlier record if it appears on the log later.
 CHALLENGE_TIMEOUT_MS = 3000
 
 
 class LeaseManager:
-    """Component that holds the zone's lease when it is this steward's."""
+    """Component that acquires, renews and releases the zone's lease."""
 
     __slots__ = (
         "_me",
@@ -75,25 +75,25 @@
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The component's name in logs."""
         return "lease"
 
     def held_lease(self) -> leases.Lease | None:
-        """Returns the lease if this incarnation holds it."""
+        """Returns the lease if this incarnation holds it, else None."""
         lease = self._replica.state.leases.leases.get(self._me.zone)
         if lease is None or lease.holder != self._me.incarnation:
             return None
         return lease
 
     async def run(self) -> None:
-        """Renews or challenges until cancelled."""
+        """Renews or challenges the lease until cancelled."""
         while True:
             await asyncio.sleep(TICK_S)
             if self._reader.caught_up and not self._leaving:
                 self._tick(self._clock.monotonic_ms())
 
     async def stop(self) -> None:
-        """Gives the lease back, so that nobody waits for its lapse."""
+        """Releases the lease, so that no successor waits for its expiry."""
         self._leaving = True
         lease = self.held_lease()
         if lease is None:
@@ -101,24 +101,27 @@
         try:
             self._writer.submit(records.LeaseReleased(lease.zone, lease.offset))
         except log_writer.QueueFullError:
-            # Others take it after its lapse; the stop itself must go on.
-            self._logger.warning("the queue for the log is full, lease lapses")
+            # Others take it after its expiry; the shutdown must go on.
+            self._logger.warning(
+                "log append queue is full, lease is left to expire"
+            )
             return
-        self._logger.info("lease is given back")
+        self._logger.info("lease released")
 
     def _tick(self, now_ms: int) -> None:
         lease = self.held_lease()
         if lease is not None:
             if now_ms - self._renewed_ms >= self._renew_interval_ms:
                 self._renewed_ms = now_ms
-                # While the log is away a queued renewal is enough.
+                # While the log is unreachable, one queued renewal is enough.
                 if self._writer.reachable:
                     self._writer.submit(
                         records.LeaseRenewed(lease.zone, lease.offset)
                     )
             return
         if not (self._reader.reachable and self._writer.reachable):
-            # Nobody can renew while the log is away: no lapse is observed.
+            # No holder can renew while the log is unreachable, so that time
+            # does not count towards expiry.
             self._expiry_detector.reset_timer(now_ms)
             return
         self._challenge(now_ms)
@@ -136,7 +139,7 @@
         self._writer.submit(
             records.LeaseTaken(self._me.zone, self._me.incarnation, supersedes)
         )
-        self._logger.info("lease is challenged", supersedes=supersedes)
+        self._logger.info("lease challenged", supersedes=supersedes)
 
     def _on_event(self, event: replay.AppliedRecord) -> None:
         now_ms = self._clock.monotonic_ms()
--- a/sesamecross/steward/local_replica.py
+++ b/sesamecross/steward/local_replica.py
@@ -1,7 +1,8 @@
-"""The steward's replica, those who listen to it and those who wait on it.
+"""The steward's replica of the shared state, with listeners and waiters.
 
-Why: leases, claims and published changes are decided at replay, so whoever
-depends on them listens here; who wrote an intent waits for its verdict.
+Leases, claims and configuration changes are decided at replay. Components
+that depend on them register a listener; the writer of an intent waits for its
+result.
 """
 
 import asyncio
@@ -18,7 +19,7 @@
 
 
 def wait_key(record: Any) -> str | None:
-    """Returns the name under which somebody may wait for a record."""
+    """Returns the key to wait for a record's result, or None if it has none."""
     match record:
         case records.IntentWritten(order=order):
             return order.order_id
@@ -26,7 +27,7 @@
 
 
 class LocalReplica:
-    """Holds the replica; runs on the event loop only."""
+    """Notifies of applied records. Use it on the event loop only."""
 
     __slots__ = ("log_replica", "_listeners", "_waiters", "_recorder")
 
@@ -42,7 +43,7 @@
         return self.log_replica.state
 
     def add_listener(self, listener: Listener) -> None:
-        """Calls `listener` with each event from now on."""
+        """Calls `listener` for each record applied from now on."""
         self._listeners.append(listener)
 
     def result_future(self, record: Any) -> asyncio.Future:
@@ -52,14 +53,14 @@
         return future
 
     def cancel_wait(self, record: Any, future: asyncio.Future) -> None:
-        """Stops waiting."""
+        """Removes a future that `result_future` returned."""
         waiting = self._waiters.get(wait_key(record), [])
         if future in waiting:
             waiting.remove(future)
 
     def _on_events(self, events: list[replay.AppliedRecord]) -> None:
         for event in events:
-            # What this record causes here sorts behind its writing.
+            # Events that this record causes here get later timestamps.
             self._recorder.receive(hlc.Timestamp(*event.stamp))
             for listener in self._listeners:
                 listener(event)
--- a/sesamecross/steward/log_reader.py
+++ b/sesamecross/steward/log_reader.py
@@ -1,7 +1,7 @@
-"""Follows the platform's log and feeds the replica.
+"""Long-polls the platform's log and feeds the replica.
 
-Why: reading must go on through outages, resume where it stood, and never
-skip a gap. Peers help where the log can't.
+Reading continues through outages, resumes at the same offset and never skips
+a gap. Where the log has expired the records needed, a peer provides the state.
 """
 
 import asyncio
@@ -54,7 +54,7 @@
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The component's name in logs."""
         return "log-reader"
 
     @property
@@ -64,7 +64,7 @@
 
     @property
     def caught_up(self) -> bool:
-        """Whether the replica has been at the log's end since the start."""
+        """Whether the replica has reached the log's end since the start."""
         return self._caught_up
 
     async def run(self) -> None:
@@ -84,7 +84,7 @@
             backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
 
     async def stop(self) -> None:
-        """Nothing is open between reads."""
+        """Does nothing: no work is open between reads."""
 
     def _feed_page(self, page: log_http.Page) -> None:
         log_replica = self._replica.log_replica
@@ -95,8 +95,8 @@
         if log_replica.progress is catchup.CatchupState.FOLLOWING:
             self._caught_up = True
             return
-        # The log holds no snapshot that joins what it still has; only a
-        # peer can give one.
+        # The log holds no snapshot that covers the gap to its remaining
+        # records; only a peer can provide one.
         self._on_gap()
 
     def _set_reachable(self, reachable: bool, reason: str) -> None:
@@ -104,9 +104,9 @@
             return
         self._reachable = reachable
         if reachable:
-            self._logger.info("reads are answered")
+            self._logger.info("log reads succeed")
         else:
-            self._logger.warning("reads fail", reason=reason)
+            self._logger.warning("log reads fail", reason=reason)
         self._recorder.add(
             timeline.EventKind.LOG,
             "reads are answered" if reachable else "reads fail",
--- a/sesamecross/steward/log_writer.py
+++ b/sesamecross/steward/log_writer.py
@@ -1,9 +1,9 @@
-"""Appends records to the platform's log in groups.
+"""Appends records to the platform's log in batches.
 
-Why: the log takes several hundred appends a second for everybody, so what is
-submitted while an append is under way goes out with the next one. An append
-whose answer was lost is sent again under the same id until the log has
-answered; replay counts it once.
+The log takes several hundred appends a second from all writers together, so
+records submitted during an append go into the next batch. An append without a
+response is retried under the same id until the log responds; replay applies it
+once.
 """
 
 import asyncio
@@ -28,11 +28,11 @@
 
 
 class QueueFullError(Exception):
-    """Too much waits for the log; the submitter must refuse its work."""
+    """The append queue is full; the submitter must refuse its work."""
 
 
 class LogWriter:
-    """Component that owns the queue of records to append."""
+    """Component that batches and appends queued records."""
 
     __slots__ = (
         "_log",
@@ -70,7 +70,7 @@
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The component's name in logs."""
         return "log-writer"
 
     @property
@@ -79,18 +79,18 @@
         return self._reachable
 
     def submit(self, record: Any) -> None:
-        """Queues a record; its effect shows at replay.
+        """Queues a record; it takes effect at replay.
 
         Raises:
-          QueueFull: The log has been away for long.
+          QueueFullError: The log has been unreachable for long.
         """
         self.submit_atomically((record,))
 
     def submit_atomically(self, entries: tuple[Any, ...]) -> None:
-        """Queues records that must be on the log together or not at all.
+        """Queues records that reach the log together or not at all.
 
         Raises:
-          QueueFull: The log has been away for long.
+          QueueFullError: The log has been unreachable for long.
         """
         if len(self._queue) >= MAX_QUEUE_LENGTH:
             raise QueueFullError
@@ -100,24 +100,24 @@
         self._has_work.set()
 
     def submit_alone(self, record: Any) -> None:
-        """Queues a record that must have an append of its own.
+        """Queues a record that must be alone in its append.
 
         Raises:
-          QueueFull: The log has been away for long.
+          QueueFullError: The log has been unreachable for long.
         """
         if len(self._queue) >= MAX_QUEUE_LENGTH:
             raise QueueFullError
-        # Larger than any group: nothing joins it, and it joins nothing.
+        # Larger than any batch: it joins no batch and no record joins it.
         self._queue.append(((record,), MAX_BATCH_BYTES + 1))
         self._idle.clear()
         self._has_work.set()
 
     async def wait_until_flushed(self) -> None:
-        """Waits until everything submitted has been answered for."""
+        """Waits until all submitted records are appended."""
         await self._idle.wait()
 
     async def run(self) -> None:
-        """Appends until cancelled."""
+        """Appends batches until cancelled."""
         while True:
             await self._has_work.wait()
             self._has_work.clear()
@@ -126,12 +126,13 @@
             self._idle.set()
 
     async def stop(self) -> None:
-        """Gives what is queued a last moment."""
+        """Waits up to one second for the queue to be appended."""
         try:
             await asyncio.wait_for(self.wait_until_flushed(), 1.0)
         except TimeoutError:
             self._logger.warning(
-                "records are lost with this stop", records=len(self._queue)
+                "stopping with records that are not appended",
+                records=len(self._queue),
             )
 
     def _next_batch(self) -> list[Any]:
@@ -162,8 +163,8 @@
                 self.append_bytes += len(payload)
                 return
             self._set_reachable(False, str(result.failure()))
-            # Jitter keeps the stewards of a deployment from coming back to
-            # a recovering log all at once.
+            # Jitter keeps the stewards of a deployment from retrying all at
+            # once when the log recovers.
             await asyncio.sleep(backoff_s * self._rng.uniform(0.5, 1.0))
             backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
 
@@ -172,9 +173,9 @@
             return
         self._reachable = reachable
         if reachable:
-            self._logger.info("appends are answered again")
+            self._logger.info("log appends succeed again")
         else:
-            self._logger.warning("appends fail", reason=reason)
+            self._logger.warning("log appends fail", reason=reason)
         self._recorder.add(
             timeline.EventKind.LOG,
             "appends are answered" if reachable else "appends fail",
--- a/sesamecross/steward/peer_links.py
+++ b/sesamecross/steward/peer_links.py
@@ -1,6 +1,6 @@
-"""Streams to other stewards: heartbeats, gossip, and state for joiners.
+"""Streams to other stewards: heartbeats, gossip, claims and state transfer.
 
-Why: peers carry what the log should not: who is alive, what upstreams said,
+Peers exchange what does not belong on the log: liveness, upstream reports,
 and the replayed state for an instance that starts while the log is down.
 """
 
@@ -39,14 +39,14 @@
 
 @dataclasses.dataclass(slots=True)
 class _PeerStream:
-    """One stream to a peer, whoever opened it."""
+    """One stream to a peer, opened by either side."""
 
     stream: streams.Stream
     versions: gossip.PeerVersions
 
 
 class PeerLinks:
-    """Component that keeps the overlay's streams."""
+    """Component that maintains the overlay's streams."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         claim_router.send_request = self.send_request
         self._reply_futures: dict[str, asyncio.Future] = {}
         self._tasks: set[asyncio.Task] = set()
-        # Where members were, also after they left membership.
+        # Members with their addresses, also after they left membership.
         self._last_known_members: dict[data.Incarnation, data.Member] = {}
         self._me = me
         self._shared_key = shared_key
@@ -98,12 +98,12 @@
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The component's name in logs."""
         return "links"
 
     @property
     def heartbeats(self) -> dict[str, messages.Heartbeat]:
-        """The newest heartbeat of each peer that was heard."""
+        """The newest heartbeat received from each peer, by instance."""
         return self._last_heartbeats
 
     async def run(self) -> None:
@@ -119,7 +119,7 @@
             list_task.cancel()
 
     async def stop(self) -> None:
-        """Tells peers of the leave and closes all streams."""
+        """Announces the departure to peers and closes all streams."""
         self.leaving = True
         await self._send_all()
         for task in self._connecting.values():
@@ -135,7 +135,7 @@
                 case membership_lib.BeliefChanged(member=member, state=state):
                     name = member.incarnation.instance
                     self._logger.info(
-                        "belief changed", peer=name, state=state.value
+                        "membership state changed", peer=name, state=state.value
                     )
                     self._recorder.add(
                         timeline.EventKind.MEMBER, f"{name} is {state.value}"
@@ -175,7 +175,7 @@
     def _group_peers(
         self, members: dict[str, data.Member]
     ) -> dict[str, data.Member]:
-        """Returns those with whom this steward has a part in a group."""
+        """Returns the peers that share a claim group with this steward."""
         me = self._me.incarnation
         peers = {}
         for group in self._replica.state.groups.zones.values():
@@ -186,7 +186,7 @@
                 for peer in config.participants:
                     member = members.get(peer.instance)
                     if member is None or member.incarnation != peer:
-                        # Gone from membership, but its end must be proved.
+                        # Removed from membership, but its death must be proved.
                         member = self._last_known_members.get(peer)
                     is_dead = peer in self._contact_tracker.dead
                     if peer != me and member is not None and not is_dead:
@@ -203,8 +203,8 @@
                 self._recorder,
             )
         except streams.StreamRefusedError:
-            # Nobody listens there, and a steward listens for as long as it
-            # lives: this incarnation is dead.
+            # A steward listens for its whole lifetime, so a refused
+            # connection proves that this incarnation is dead.
             if member.incarnation.started:
                 self._claim_group_manager.on_peer_death(member.incarnation)
             return False
@@ -221,7 +221,7 @@
     # -- messages between members of claim groups ---------------------------
 
     def post(self, to: data.Incarnation, message: object) -> None:
-        """Sends a message if the peer can be reached; else it is lost."""
+        """Sends a message; it is dropped if the peer can't be reached."""
         self._spawn(self._post(to, message))
 
     async def _post(self, to: data.Incarnation, message: object) -> bool:
@@ -253,7 +253,7 @@
         request_id: str,
         timeout_s: float,
     ) -> object | None:
-        """Sends a request to a peer; returns its reply, or None."""
+        """Sends a request; returns the reply, or None if there is none."""
         future = asyncio.get_running_loop().create_future()
         self._reply_futures[request_id] = future
         try:
@@ -283,7 +283,7 @@
             await peer_stream.stream.send(reply)
 
     async def serve(self, stream: streams.Stream, name: str) -> None:
-        """Talks with one peer until the stream ends."""
+        """Exchanges messages with one peer until the stream ends."""
         peer_stream = _PeerStream(stream, gossip.PeerVersions(name, ""))
         previous = self._peer_streams.get(name)
         self._peer_streams[name] = peer_stream
@@ -350,7 +350,7 @@
             and previous.incarnation.started
             and previous.incarnation != incarnation
         ):
-            # Another process answers at the instance's address.
+            # Another incarnation answers at the instance's address.
             self._claim_group_manager.on_peer_death(previous.incarnation)
         self._last_heartbeats[instance] = heartbeat
         self._remember_member(heartbeat.member)
@@ -412,7 +412,7 @@
         self.bytes_sent += await peer_stream.stream.send(heartbeat)
 
     async def fetch_state(self) -> bool:
-        """Asks peers for the replayed state; tells whether one helped."""
+        """Installs a newer state from a peer; tells whether one had it."""
         for peer_stream in list(self._peer_streams.values()):
             request_id = uuid.uuid4().hex
             future = asyncio.get_running_loop().create_future()
@@ -428,7 +428,7 @@
                 and self._replica.log_replica.install_snapshot(snapshot)
             ):
                 self._logger.info(
-                    "state is taken from a peer",
+                    "state snapshot installed from a peer",
                     peer=peer_stream.versions.peer,
                     offset=snapshot.upto,
                 )
@@ -437,7 +437,7 @@
         return False
 
     def add_replayed_members(self) -> None:
-        """Takes in all members that the replayed state names."""
+        """Adds all members of the replayed state to the membership."""
         now_ms = self._clock.monotonic_ms()
         for member in self._replica.state.members.values():
             self._membership.add_member(member, now_ms)
@@ -459,8 +459,8 @@
     def _add_listed_instance(
         self, listed: instances_http.ListedInstance, now_ms: int
     ) -> None:
-        # The list lags, so it only names addresses to try. The incarnation
-        # is learnt from the peer itself.
+        # The list lags, so it only gives addresses to try. The peer's own
+        # heartbeat tells its incarnation.
         if listed.instance in self._membership.known() or listed.leaving:
             return
         unknown = data.Incarnation(listed.instance, "")
--- a/sesamecross/steward/placement_controller.py
+++ b/sesamecross/steward/placement_controller.py
@@ -1,9 +1,9 @@
-"""Carries out the placement plan: intents first, then orders.
+"""Plans placement and carries it out: intents first, then orders.
 
-Why: an order may only be sent once it stands on the log under a lease that
-was still current there; whatever its sender may have sent is then known to
-the next holder. How many loads run at once is decided by their order on the
-log too, so that the holders of all zones together keep the store's limits.
+An order may be sent only once its intent is on the log under a lease that was
+current at that offset. The next holder then knows every order that may have
+been sent. Concurrent loads are counted from the log's intents too, so that the
+holders of all zones together stay within the weight store's limits.
 """
 
 import asyncio
@@ -36,7 +36,7 @@
 
 
 class PlacementController:
-    """Component that plans and moves while this steward holds the lease."""
+    """Component that plans and executes moves while it holds the lease."""
 
     __slots__ = (
         "_me",
@@ -94,11 +94,11 @@
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The component's name in logs."""
         return "mover"
 
     async def run(self) -> None:
-        """Plans and moves until cancelled."""
+        """Plans and starts moves until cancelled."""
         while True:
             await asyncio.sleep(self._plan_interval_s)
             lease = self._lease_manager.held_lease()
@@ -113,10 +113,10 @@
                 self._start_move(move, lease.offset)
 
     async def stop(self) -> None:
-        """Lets moves that were written down be sent and then settled.
+        """Gives running moves two seconds to be sent and settled.
 
-        What can't be settled in time stays on the log as unresolved, and
-        the next holder settles it.
+        Intents that are not settled by then stay unresolved on the log, and
+        the next holder settles them.
         """
         tasks = list(self._move_tasks.values())
         if tasks:
@@ -125,9 +125,10 @@
             task.cancel()
 
     def _has_all_reports(self) -> bool:
-        """Tells whether each engine has been asked since this start.
+        """Tells whether each engine has a report, or the wait is over.
 
-        Before that a plan would see room nowhere and models nowhere.
+        A plan made without the reports would see no free memory and no
+        resident models.
         """
         now_ms = self._clock.monotonic_ms()
         if self._planning_since_ms is None:
@@ -141,7 +142,7 @@
         )
 
     def plan_inputs(self) -> placement.Inputs:
-        """Returns what a plan is made from now."""
+        """Returns the current inputs of the planner."""
         state = self._replica.state
         declarations = state.config.declarations
         sizes = ledger.sizes_of(declarations)
@@ -169,7 +170,7 @@
         self.shortfalls = shortfalls
         for shortfall in shortfalls:
             self._logger.warning(
-                "a declaration can't be satisfied",
+                "declaration cannot be satisfied",
                 name=shortfall.name,
                 reason=shortfall.reason,
                 remedy=shortfall.remedy,
@@ -206,8 +207,8 @@
         zones = {
             e.zone for e in self._replica.state.config.declarations.engines()
         }
-        # Each zone's holder takes its share of the store's rate, so that
-        # they need not talk about it.
+        # Each zone's holder takes an equal share of the store's load rate,
+        # so that the holders need not coordinate.
         interval_ms = 1000 * max(1, len(zones)) / store.loads_per_second
         self._next_load_ms = now_ms + int(interval_ms)
         return True
@@ -237,7 +238,7 @@
     async def _write_intent(
         self, move: placement.Move, upstream: data.Upstream, lease_offset: int
     ) -> intents.Intent | None:
-        """Writes the order down; returns it once it may be sent."""
+        """Appends an intent; returns it if its order may be sent."""
         status = await self._engine_poller.poll(upstream)
         if status is None or status.report.leaving:
             return None
@@ -268,7 +269,7 @@
             return None
         intent = await future
         if intent is None:
-            # The lease was superseded before this record: another holder
+            # The lease was superseded earlier on the log: another holder
             # plans now, and this order must never be sent.
             self._recorder.add(
                 timeline.EventKind.INTENT,
@@ -304,7 +305,7 @@
     async def _settle(
         self, intent: intents.Intent, upstream: data.Upstream
     ) -> None:
-        """Watches the engine until the order's outcome is proved."""
+        """Polls the engine until the order's outcome is proved."""
         sent_ms = self._clock.monotonic_ms()
         while self._is_open(intent):
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -318,8 +319,8 @@
                 continue
             if self._lease_manager.held_lease() is None:
                 return
-            # The order was lost on its way. The engine does nothing for an
-            # order id that it has seen, so sending it again is safe.
+            # The order was lost in transit. The engine ignores an order id
+            # that it has seen, so sending it again is safe.
             sent_ms = now_ms
             await self._send(intent, upstream)
 
@@ -327,7 +328,10 @@
         return intent.order.order_id in self._replica.state.intents.unresolved
 
     def _settle_inherited(self) -> None:
-        """Settles intents that an earlier holder left behind."""
+        """Settles unresolved intents of the zone that have no task here.
+
+        An earlier holder or incarnation left them behind.
+        """
         state = self._replica.state
         for intent in list(state.intents.unresolved.values()):
             if intent.zone != self._me.zone:
@@ -345,7 +349,7 @@
     def _resolve_proved_orders(
         self, status: engine_http.EngineStatus, upstream: data.Upstream
     ) -> None:
-        """Writes down each outcome that the status proves."""
+        """Appends each order outcome that the engine's status proves."""
         if self._lease_manager.held_lease() is None:
             return
         state = self._replica.state
--- a/sesamecross/steward/server.py
+++ b/sesamecross/steward/server.py
@@ -1,7 +1,7 @@
-"""The steward's listening port: entry, peers and operators.
+"""The steward's listening port for its entry, peers and operators.
 
-Why: one authenticated port for all of the system's own streams; the role in
-the handshake decides which messages are understood.
+All internal streams share one authenticated port. The role in the handshake
+decides which messages are accepted.
 """
 
 import asyncio
@@ -34,12 +34,13 @@
     def __init__(self, stream: streams.Stream):
         self.stream = stream
         self.acknowledged_version = -1
-        # Claims won for this entry whose outcome it has not told.
+        # Ids of claims requested by this entry whose outcome it has not
+        # reported.
         self.unsettled_claims: set[str] = set()
         self._event_futures: dict[str, asyncio.Future] = {}
 
     async def events(self, limit: int, call_id: str) -> list | None:
-        """Returns the entry's events, or None if it does not answer."""
+        """Returns the entry's events, or None if it does not respond."""
         request_id = uuid.uuid4().hex
         future = asyncio.get_running_loop().create_future()
         self._event_futures[request_id] = future
@@ -54,14 +55,14 @@
             self._event_futures.pop(request_id, None)
 
     def on_events(self, reply: messages.EventsReply) -> None:
-        """Takes in the entry's answer."""
+        """Completes the pending request for events."""
         future = self._event_futures.get(reply.request_id)
         if future is not None and not future.done():
             future.set_result(reply.events)
 
 
 class Server:
-    """Component that accepts streams and serves them."""
+    """Component that accepts and serves streams."""
 
     def __init__(
         self,
@@ -88,17 +89,17 @@
             Callable[[EntrySession], Awaitable[None]] | None
         ) = None
 
-    # Others take a refused connection for a proof that this process is gone,
-    # so it must not live on without listening.
+    # Peers take a refused connection as proof that this process is dead, so it
+    # must not keep running without listening.
     is_vital = True
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The component's name in logs."""
         return "streams"
 
     async def run(self) -> None:
-        """Accepts until cancelled."""
+        """Accepts connections until cancelled."""
         host, _, port = self._listen.rpartition(":")
         server = await asyncio.start_server(
             self._on_connect, host, int(port), limit=2**20
@@ -107,7 +108,7 @@
             await server.serve_forever()
 
     async def stop(self) -> None:
-        """Ends the entry's stream; it goes on with its last view."""
+        """Closes all streams; the entry keeps serving with its last view."""
         if self.entry is not None:
             self.entry.stream.close()
         for task in list(self._tasks):
@@ -130,7 +131,7 @@
         except streams.StreamClosedError as error:
             self._logger.debug("stream ended", reason=str(error))
         except asyncio.CancelledError:
-            # Only `stop` cancels; the server itself must not see it as an
+            # Only `stop` cancels. asyncio's server must not report it as an
             # error of the connection.
             pass
         finally:
@@ -150,7 +151,7 @@
     async def _serve_entry(self, stream: streams.Stream) -> None:
         session = EntrySession(stream)
         self.entry = session
-        self._logger.info("entry is connected", entry=stream.hello.name)
+        self._logger.info("entry connected", entry=stream.hello.name)
         try:
             if self.on_entry_connected is not None:
                 await self.on_entry_connected(session)
@@ -161,7 +162,7 @@
             if self.entry is session:
                 self.entry = None
             self._claim_router.settle_abandoned(session.unsettled_claims)
-            self._logger.info("entry is gone", entry=stream.hello.name)
+            self._logger.info("entry disconnected", entry=stream.hello.name)
 
     def _spawn(self, work: Awaitable[None]) -> None:
         task = asyncio.create_task(work)
--- a/sesamecross/steward/snapshotter.py
+++ b/sesamecross/steward/snapshotter.py
@@ -1,9 +1,9 @@
-"""Appends snapshots of the shared state ahead of the log's retention.
+"""Appends snapshots of the shared state before log records expire.
 
-Why: the log keeps records for a limited time, and instances keep nothing. A
-snapshot lets an instance start from the log alone though the first records
-have expired. Any steward may append one; they take turns by rendezvous, and
-one that is on the log already is not appended again.
+The log retains records for a limited time and instances store nothing. A
+snapshot lets an instance start from the log alone after the first records have
+expired. Any steward may append one: rendezvous hashing picks whose turn it is,
+and a snapshot that is already on the log is not appended again.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 
 class Snapshotter:
-    """Component that appends a snapshot when it is due and its turn."""
+    """Component that appends a snapshot when this steward is chosen."""
 
     __slots__ = (
         "_me",
@@ -55,33 +55,33 @@
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The component's name in logs."""
         return "snapshots"
 
     async def run(self) -> None:
-        """Looks each second until cancelled."""
+        """Checks each second until cancelled."""
         while True:
             await asyncio.sleep(TICK_S)
             if self._is_due():
                 self._append()
 
     async def stop(self) -> None:
-        """Nothing is open between looks."""
+        """Does nothing: no work is open between checks."""
 
     def _is_due(self) -> bool:
         log_replica = self._replica.log_replica
         if not (self._reader.caught_up and self._writer.reachable):
             return False
         if log_replica.last_snapshot_offset < self._pending_offset:
-            # The own one is on its way.
+            # This steward's snapshot is not replayed yet.
             return False
         lag = (
             log_replica.state.next_offset - 1 - log_replica.last_snapshot_offset
         )
         if lag < self._interval_records:
             return False
-        # Who is asked changes with the distance, so that a steward that does
-        # not do its turn holds nothing up.
+        # The choice changes as the lag grows, so that a steward that fails to
+        # append does not block the others.
         turn = lag // self._interval_records
         alive = self._membership.believed_alive()
         appender = rendezvous.top(f"snapshot/{turn}", alive, 1)
--- a/sesamecross/steward/view_sender.py
+++ b/sesamecross/steward/view_sender.py
@@ -1,8 +1,8 @@
-"""Hands views to the entry whenever something in them changed.
+"""Sends a view to the entry whenever its contents change.
 
-Why: the entry relays calls by a view that it holds itself, so that it goes
-on serving while the steward is away. A configuration is sent only when it
-changed; reports are small.
+The entry routes calls by its own copy of the view, so that it keeps serving
+while the steward is down. The configuration tree is sent only when its version
+has changed; reports are small.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 class ViewSender:
-    """Component that keeps the entry's view current."""
+    """Component that keeps the entry's view up to date."""
 
     __slots__ = (
         "_replica",
@@ -58,23 +58,23 @@
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The component's name in logs."""
         return "views"
 
     async def run(self) -> None:
-        """Sends changed views until cancelled."""
+        """Sends the view on each change until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             if self._server.entry is not None and self.is_ready:
                 await self._send_if_changed(self._server.entry)
 
     async def stop(self) -> None:
-        """Nothing is open between views."""
+        """Does nothing: no work is open between views."""
 
     async def _on_entry_connected(
         self, _session: server_lib.EntrySession
     ) -> None:
-        # A new entry knows nothing yet.
+        # A new entry has no view yet.
         self._last_version = -1
         self._last_view = None
 
@@ -88,7 +88,7 @@
             len(self._membership.believed_alive()),
         )
         if inputs == self._last_inputs and self._last_view is not None:
-            # Nothing that a view is made of has changed.
+            # No input of the view has changed.
             return
         self._last_inputs = inputs
         tree = config.tree if config.version != self._last_version else None
