--- a/sesamecross/steward/claim_group_manager.py
+++ b/sesamecross/steward/claim_group_manager.py
@@ -29,7 +29,7 @@
 PROPOSAL_INTERVAL_MS = 500
 # A proposal without a result at replay is evaluated again after this time.
 PROPOSAL_TIMEOUT_MS = 3000
-STARTUP_DELAY_MS = 1500
+STABILIZATION_DELAY_MS = 1500
 
 Post = Callable[[data.Incarnation, object], None]
 
@@ -130,7 +130,7 @@
                 group.on_replayed(self._replica.state.next_offset, now_ms)
             )
             self._execute_actions(group.tick(now_ms))
-        if reachable and now_ms - self._ready_ms >= STARTUP_DELAY_MS:
+        if reachable and now_ms - self._ready_ms >= STABILIZATION_DELAY_MS:
             self._release_homes()
             if now_ms - self._proposed_ms >= PROPOSAL_INTERVAL_MS:
                 self._propose(now_ms)
--- a/sesamecross/steward/demand_tracker.py
+++ b/sesamecross/steward/demand_tracker.py
@@ -13,7 +13,7 @@
 DEMAND_PREFIX = "demand/"
 HALF_LIFE_MS = 20_000
 # Calls per second; lower rates are residue of the smoothing and are dropped.
-MIN_RATE = 0.001
+MIN_RATE_PER_S = 0.001
 
 
 class DemandTracker:
@@ -40,7 +40,7 @@
         for name in names:
             current = calls.get(name, 0) * 1000 / max(1, interval_ms)
             rate = self._rates.get(name, 0.0) * decay + current * (1 - decay)
-            if rate >= MIN_RATE:
+            if rate >= MIN_RATE_PER_S:
                 rates[name] = round(rate, 4)
         if rates == self._rates:
             return
