--- a/sesamecross/steward/app.py
+++ b/sesamecross/steward/app.py
@@ -1,4 +1,4 @@
-"""The steward's application object: owns its parts, their start and end."""
+"""The steward's application object, which owns its components."""
 
 import asyncio
 import os
@@ -37,12 +37,12 @@
 from sesamecross.steward import snapshotter as snapshotter_lib
 from sesamecross.steward import view_sender as view_sender_lib
 
-LEAVE_WAIT_S = 3.0
+LEAVE_TIMEOUT_S = 3.0
 HANDOVER_TIMEOUT_S = 5.0
 
 
 class StewardApp:
-    """Everything that one steward process owns."""
+    """Owns all components of one steward process."""
 
     def __init__(
         self, settings: settings_lib.StewardSettings, clock: clock_lib.Clock
@@ -63,17 +63,17 @@
         self.metrics = metrics_lib.Metrics()
         self._rng = random.Random(os.urandom(8))
         self.replica = local_replica_lib.LocalReplica(self.recorder)
-        self.replica.listen(self._on_event)
+        self.replica.add_listener(self._on_event)
 
     @classmethod
     def from_settings(
         cls, settings: settings_lib.StewardSettings
     ) -> "StewardApp":
-        """Returns an application on the machine's clock."""
+        """Returns an application that uses the system clock."""
         return cls(settings, clock_lib.SystemClock())
 
     def components(self) -> list[supervisor.Component]:
-        """Returns the parts in the order of their start."""
+        """Returns the components in start order."""
         settings = self._settings
         self._log = log_http.HttpLog(settings.log_url)
         self._store = gossip.ItemStore(settings.zone)
@@ -208,27 +208,33 @@
         ]
 
     async def drain(self) -> None:
-        """Leaves: the lease is given back and the leave is on the log."""
+        """Shuts down as planned.
+
+        Releases the lease, waits until the claim groups can do without this
+        steward, and appends MemberLeft to the log.
+        """
         self.peer_links.leaving = True
         self.claim_group_manager.leaving = True
         await self.placement_controller.stop()
         await self.lease.stop()
         if self.reader.reachable:
-            handed_over = await self.claim_group_manager.handed_over(
+            handed_over = await self.claim_group_manager.wait_until_handed_over(
                 HANDOVER_TIMEOUT_S
             )
-            self._logger.info("claims are handed over", done=handed_over)
+            self._logger.info("claim groups are handed over", done=handed_over)
         try:
             if self.writer.reachable:
                 self.writer.submit(records.MemberLeft(self.me.incarnation))
             await asyncio.wait_for(
-                self.writer.wait_until_flushed(), LEAVE_WAIT_S
+                self.writer.wait_until_flushed(), LEAVE_TIMEOUT_S
             )
         except (TimeoutError, log_writer.QueueFullError):
-            self._logger.warning("the log is away, leaving without a record")
+            self._logger.warning(
+                "log is unreachable, leaving without a MemberLeft record"
+            )
 
     def status(self, request_id: str) -> messages.StatusReply:
-        """Returns what operators see of this steward."""
+        """Returns this steward's status for operators."""
         state = self.replica.state
         unresolved = tuple(
             (
@@ -252,7 +258,7 @@
             state.next_offset,
             self.reader.reachable,
             self.server.entry is not None,
-            self.server.entry.version if self.server.entry else -1,
+            self.server.entry.acknowledged_version if self.server.entry else -1,
             tuple(self._peer_statuses()),
             tuple(self.engine_poller.reports()),
             {
@@ -273,25 +279,25 @@
         now_ms = self._clock.monotonic_ms()
         statuses = []
         for name, member in sorted(self._membership.known().items()):
-            belief = self._membership.state_of(name)
-            if belief is None:
+            peer_state = self._membership.state_of(name)
+            if peer_state is None:
                 continue
             heartbeat = self.peer_links.heartbeats.get(name)
             statuses.append(
                 messages.PeerStatus(
                     name,
                     member.zone,
-                    belief[0].value,
+                    peer_state[0].value,
                     heartbeat.version if heartbeat else -1,
                     heartbeat.next_offset if heartbeat else -1,
                     heartbeat.log_reachable if heartbeat else False,
-                    now_ms - belief[1],
+                    now_ms - peer_state[1],
                 )
             )
         return statuses
 
     def _on_demand(self, report: messages.DemandReport) -> None:
-        self.demand_tracker.report(report.calls, report.interval_ms)
+        self.demand_tracker.record_counts(report.calls, report.interval_ms)
 
     def _on_event(self, event: replay.AppliedRecord) -> None:
         match event.record:
@@ -303,7 +309,7 @@
                     f" {verdict.outcome.value}, version {verdict.version}",
                 )
                 self._logger.info(
-                    "configuration change is judged",
+                    "configuration change is decided",
                     change_id=change_id,
                     outcome=verdict.outcome.value,
                     version=verdict.version,
@@ -351,7 +357,7 @@
             ),
             "sesamecross_lease_held": (
                 "1 while this steward holds its zone's lease.",
-                int(self.lease.held() is not None),
+                int(self.lease.held_lease() is not None),
             ),
             "sesamecross_intents_unresolved": (
                 "Orders whose outcome is not proved.",
--- a/sesamecross/steward/claim_group_manager.py
+++ b/sesamecross/steward/claim_group_manager.py
@@ -1,8 +1,8 @@
-"""Runs this steward's part in the claim groups.
+"""Drives this steward's state machines of the claim groups.
 
-Why: the group is a plain state machine; here its actions become messages and
-appends, the log's events and peers' beats become its inputs, and this steward
-proposes the next epoch where that is its turn.
+`ClaimGroup` is a deterministic state machine. This component feeds it log
+events, heartbeats and time, carries out its actions as messages and appends,
+and proposes a zone's next epoch when it is this steward's turn.
 """
 
 import asyncio
@@ -26,16 +26,16 @@
 from sesamecross.steward import log_writer
 
 TICK_S = 0.05
-PROPOSE_MS = 500
-# A proposal that got no verdict for this long is thought over anew.
-PROPOSAL_WAIT_MS = 3000
-SETTLING_MS = 1500
+PROPOSAL_INTERVAL_MS = 500
+# A proposal without a result at replay is evaluated again after this time.
+PROPOSAL_TIMEOUT_MS = 3000
+STABILIZATION_DELAY_MS = 1500
 
 Post = Callable[[data.Incarnation, object], None]
 
 
 class ClaimGroupManager:
-    """Component that owns the claim groups."""
+    """Component that owns the claim groups of all zones."""
 
     def __init__(
         self,
@@ -59,39 +59,39 @@
         self._logger = logs.get_logger("claim-group")
         self._groups: dict[str, claim_group.ClaimGroup] = {}
         self._state: replay.SharedState | None = None
-        self._waiting: dict[str, asyncio.Future] = {}
+        self._verdict_futures: dict[str, asyncio.Future] = {}
         self._ready_ms: int | None = None
-        self._proposed_ms = -PROPOSAL_WAIT_MS
+        self._proposed_ms = -PROPOSAL_TIMEOUT_MS
         self._releasing: dict[str, tuple[str, int]] = {}
         self.post: Post | None = None
         self.leaving = False
         self.is_ready = False
-        replica.listen(self._on_event)
+        replica.add_listener(self._on_event)
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The component's name in logs."""
         return "claim-group"
 
     @property
     def isolated_claim_count(self) -> int:
-        """Claims kept out of touch and not on the log, over all groups."""
+        """Claims of all groups kept while isolated and not yet on the log."""
         return sum(
             group.isolated_claim_count for group in self._groups.values()
         )
 
     async def run(self) -> None:
-        """Lets time pass until cancelled."""
+        """Ticks the groups until cancelled."""
         while True:
             await asyncio.sleep(TICK_S)
             if self.is_ready:
                 self._tick(self._clock.monotonic_ms())
 
     async def stop(self) -> None:
-        """Nothing is open between ticks."""
+        """Does nothing: no work is open between ticks."""
 
-    async def handed_over(self, timeout_s: float) -> bool:
-        """Waits until no group needs this steward any more."""
+    async def wait_until_handed_over(self, timeout_s: float) -> bool:
+        """Waits until no group needs this steward; tells whether none does."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 while self._is_needed():
@@ -99,17 +99,17 @@
         return not self._is_needed()
 
     def _is_needed(self) -> bool:
-        """Tells whether somebody could still take this steward's part."""
+        """Tells whether a group still needs this steward and can replace it."""
         me = self._me.incarnation
-        around = self._surroundings()
-        successors = around.alive.keys() - around.leaving
+        cluster = self._cluster_view()
+        successors = cluster.alive.keys() - cluster.leaving
         if not successors:
-            # The whole deployment stops; the log keeps the claims.
+            # The whole deployment is stopping; the log keeps the claims.
             return False
         for group in self._replica.state.groups.zones.values():
             current = group.current
             if current is None or me not in current.participants:
-                # Until the next epoch is sealed, it may ask this one.
+                # The next epoch may ask this steward until it is sealed.
                 if any(me in c.participants for c in group.chain):
                     return True
                 continue
@@ -117,26 +117,26 @@
                 return True
         return False
 
-    # -- time and the world ---
+    # -- time, log state and membership ---
 
     def _tick(self, now_ms: int) -> None:
         if self._ready_ms is None:
             self._ready_ms = now_ms
-        self._follow_state(now_ms)
+        self._sync_groups(now_ms)
         reachable = self._reader.reachable and self._writer.reachable
         for group in self._groups.values():
             group.set_log_reachable(reachable, now_ms)
-            self._act(
+            self._execute_actions(
                 group.on_replayed(self._replica.state.next_offset, now_ms)
             )
-            self._act(group.tick(now_ms))
-        if reachable and now_ms - self._ready_ms >= SETTLING_MS:
+            self._execute_actions(group.tick(now_ms))
+        if reachable and now_ms - self._ready_ms >= STABILIZATION_DELAY_MS:
             self._release_homes()
-            if now_ms - self._proposed_ms >= PROPOSE_MS:
+            if now_ms - self._proposed_ms >= PROPOSAL_INTERVAL_MS:
                 self._propose(now_ms)
 
-    def _follow_state(self, now_ms: int) -> None:
-        """Gives this steward a part in each zone's group that has one."""
+    def _sync_groups(self, now_ms: int) -> None:
+        """Creates a state machine for each new zone and updates their state."""
         state = self._replica.state
         if state is not self._state:
             self._state = state
@@ -153,36 +153,42 @@
                 )
                 self._groups[zone] = group
                 for peer, in_contact in self._contact_tracker.dead.items():
-                    self._act(group.on_peer_death(peer, in_contact, now_ms))
+                    self._execute_actions(
+                        group.on_peer_death(peer, in_contact, now_ms)
+                    )
 
     def on_peer_death(self, peer: data.Incarnation) -> None:
-        """A peer's address refuses, or another incarnation answers there."""
+        """Handles a proof of a peer's death.
+
+        The proof is a refused connection or another incarnation at the
+        peer's address.
+        """
         in_contact = self._contact_tracker.record_death(
             peer, claim_group.IN_CONTACT_MS
         )
         if in_contact is None:
             return
-        # Belief follows votes of watchers, and with a whole zone dead its
-        # watchers are dead too. The proof needs no vote.
+        # Suspicion needs votes of the peer's watchers, who are dead too if
+        # the whole zone is. A proof needs no vote.
         self._membership.remove(peer)
         if self._writer.reachable:
             self._submit((records.MemberLeft(peer, True, in_contact),))
-        self._note_death(peer, in_contact)
+        self._handle_death(peer, in_contact)
 
     def _on_death_record(
         self, record: records.MemberLeft, peer: data.Incarnation
     ) -> None:
-        """Another steward's proof counts here too."""
+        """Handles a proof of death that another steward has logged."""
         if peer == self._me.incarnation:
             return
         known = self._contact_tracker.dead.get(peer)
         if known is None or (record.in_contact and not known):
             self._contact_tracker.dead[peer] = record.in_contact
-            self._note_death(peer, record.in_contact)
+            self._handle_death(peer, record.in_contact)
 
-    def _note_death(self, peer: data.Incarnation, in_contact: bool) -> None:
+    def _handle_death(self, peer: data.Incarnation, in_contact: bool) -> None:
         self._logger.info(
-            "a steward is dead", peer=peer.instance, in_contact=in_contact
+            "peer is dead", peer=peer.instance, in_contact=in_contact
         )
         self._recorder.add(
             timeline.EventKind.MEMBER,
@@ -191,10 +197,10 @@
         )
         now_ms = self._clock.monotonic_ms()
         for group in self._groups.values():
-            self._act(group.on_peer_death(peer, in_contact, now_ms))
+            self._execute_actions(group.on_peer_death(peer, in_contact, now_ms))
 
     def on_peer_heartbeat(self, peer: data.Incarnation) -> None:
-        """A heartbeat came from a peer."""
+        """Passes a peer's heartbeat to the groups."""
         now_ms = self._clock.monotonic_ms()
         for group in self._groups.values():
             group.on_peer_heartbeat(peer, now_ms)
@@ -203,34 +209,37 @@
 
     def _propose(self, now_ms: int) -> None:
         state = self._replica.state
-        around = self._surroundings()
+        cluster = self._cluster_view()
         zones = {caller.home_zone for caller in self._callers().values()}
         for zone in sorted(zones | state.groups.zones.keys()):
             change = group_planner.propose_group(
-                zone, self._me, state.groups.zones.get(zone), around
+                zone, self._me, state.groups.zones.get(zone), cluster
             )
             if change is None:
                 continue
-            self._proposed_ms = now_ms + PROPOSAL_WAIT_MS - PROPOSE_MS
+            self._proposed_ms = (
+                now_ms + PROPOSAL_TIMEOUT_MS - PROPOSAL_INTERVAL_MS
+            )
             self._submit((change,))
             self._logger.info(
-                "epoch is proposed",
+                "epoch proposed",
                 zone=zone,
                 epoch=change.base_epoch + 1,
                 members=[m.instance for m in change.members],
             )
 
-    def _surroundings(self) -> group_planner.ClusterView:
+    def _cluster_view(self) -> group_planner.ClusterView:
         alive = self._membership.believed_alive()
         leaving = {
             name
             for name, member in self._membership.known().items()
-            if (belief := self._membership.state_of(name)) is not None
-            and belief[0] is membership_lib.PeerState.LEAVING
+            if (peer_state := self._membership.state_of(name)) is not None
+            and peer_state[0] is membership_lib.PeerState.LEAVING
         }
         if self.leaving:
             leaving.add(self._me.incarnation.instance)
-        # Named by the platform's list only; its incarnation is not known.
+        # Excludes members known only from the platform's instance list,
+        # whose incarnation is not known.
         known = {n: m for n, m in alive.items() if m.incarnation.started}
         return group_planner.ClusterView(
             known, frozenset(self._contact_tracker.dead), frozenset(leaving)
@@ -240,7 +249,7 @@
         return self._replica.state.config.declarations.callers
 
     def _release_homes(self) -> None:
-        """Lets go of callers whose declared home is another zone now."""
+        """Releases callers whose declared home zone has changed."""
         state = self._replica.state
         for caller, zone in state.groups.homes.items():
             declared = self._callers().get(caller)
@@ -254,7 +263,7 @@
                 continue
             epoch = group.config.epoch
             if self._releasing.get(caller) != (zone, epoch):
-                # From here on this leader refuses the caller's claims.
+                # From now on this leader refuses the caller's claims.
                 self._releasing[caller] = (zone, epoch)
                 self._submit((records.HomeReleased(caller, zone, epoch),))
 
@@ -264,7 +273,7 @@
         now_ms = self._clock.monotonic_ms()
         match event.record:
             case records.ClaimMade(zone=zone) if zone in self._groups:
-                self._act(
+                self._execute_actions(
                     self._groups[zone].on_claim_record(
                         event.record, event.result, now_ms
                     )
@@ -283,21 +292,21 @@
                 )
 
     def on_message(self, message: object) -> object | None:
-        """Takes in a message of a group; returns an answer to its sender."""
+        """Handles a group message; returns the reply to its sender, if any."""
         group = self._groups.get(message.zone)
         now_ms = self._clock.monotonic_ms()
         if group is None:
-            # Not known here yet: the sender asks again until it is.
+            # The zone is not known here yet; the sender retries until it is.
             return None
         match message:
             case gm.ClaimAsk():
                 return group.on_ask(message, now_ms)
             case gm.ClaimAck():
-                self._act(group.on_ack(message, now_ms))
+                self._execute_actions(group.on_ack(message, now_ms))
             case gm.GroupFence():
                 return group.on_fence(message)
             case gm.GroupFenced():
-                self._act(group.on_fenced(message, now_ms))
+                self._execute_actions(group.on_fenced(message, now_ms))
             case gm.ClaimWithdrawn():
                 group.on_withdrawn(message)
             case gm.ClaimTold():
@@ -307,13 +316,18 @@
     # -- claims ---
 
     def leader_of(self, zone: str) -> data.Incarnation | None:
-        """Returns who decides a zone's claims now, if that is known."""
+        """Returns the current leader of a zone's group, or None if unknown."""
         group = self._groups.get(zone)
         return group.leader if group else None
 
     def claim(self, zone: str, record: records.ClaimMade) -> asyncio.Future:
-        """Begins to decide a claim here; returns a future of its verdict."""
-        future = self._waiting.get(record.claim_id)
+        """Starts to decide a claim here.
+
+        Returns:
+          A future of the verdict. It is None if the zone has no group here
+          or the caller is being released to another zone.
+        """
+        future = self._verdict_futures.get(record.claim_id)
         if future is not None:
             return future
         future = asyncio.get_running_loop().create_future()
@@ -322,28 +336,28 @@
         if group is None or releasing:
             future.set_result(None)
             return future
-        self._waiting[record.claim_id] = future
-        self._act(group.claim(record, self._clock.monotonic_ms()))
+        self._verdict_futures[record.claim_id] = future
+        self._execute_actions(group.claim(record, self._clock.monotonic_ms()))
         return future
 
     def look_up(
         self, zone: str, record: records.ClaimMade
     ) -> data.ClaimVerdict | None:
-        """Returns what is known of the claim that holds a name."""
+        """Returns what is known of the claim under the record's name."""
         group = self._groups.get(zone)
         return group.look_up(record) if group else None
 
     def settle(self, zone: str, settled: records.ClaimSettled) -> bool:
-        """Takes in an outcome; tells whether it could be kept."""
+        """Records a claim's outcome; tells whether it could be kept."""
         group = self._groups.get(zone)
         if group is None:
             return self._submit((settled,))
-        self._act(group.settle(settled))
+        self._execute_actions(group.settle(settled))
         return True
 
     # -- actions ---
 
-    def _act(self, actions: list[claim_group.Action]) -> None:
+    def _execute_actions(self, actions: list[claim_group.Action]) -> None:
         for action in actions:
             match action:
                 case claim_group.Send(to=to, message=message):
@@ -352,16 +366,18 @@
                 case claim_group.Append(records=entries):
                     self._submit(entries)
                 case claim_group.Verdict(claim_id=claim_id, verdict=verdict):
-                    self._answer(claim_id, verdict)
+                    self._resolve_claim(claim_id, verdict)
                 case claim_group.Activated(epoch=epoch, doubt=doubt):
-                    self._note_active(epoch, doubt)
+                    self._handle_activation(epoch, doubt)
 
-    def _answer(self, claim_id: str, verdict: data.ClaimVerdict | None) -> None:
-        future = self._waiting.pop(claim_id, None)
+    def _resolve_claim(
+        self, claim_id: str, verdict: data.ClaimVerdict | None
+    ) -> None:
+        future = self._verdict_futures.pop(claim_id, None)
         if future is not None and not future.done():
             future.set_result(verdict)
 
-    def _note_active(self, epoch: int, doubt: bool) -> None:
+    def _handle_activation(self, epoch: int, doubt: bool) -> None:
         what = f"active in epoch {epoch}"
         if doubt:
             what += ", in doubt about claims made in the dark"
@@ -372,14 +388,14 @@
                 " `sesamecross claims clear-doubt ZONE`",
             )
         self._recorder.add(timeline.EventKind.CLAIM, what)
-        self._logger.info("epoch is active", epoch=epoch, doubt=doubt)
+        self._logger.info("epoch activated", epoch=epoch, doubt=doubt)
 
     def _submit(self, entries: tuple[object, ...]) -> bool:
         try:
             self._writer.submit_atomically(entries)
         except log_writer.QueueFullError:
-            # The group's members go on keeping what they keep; records of
-            # claims in the dark are appended again with the next epoch.
-            self._logger.error("the queue for the log is full")
+            # The group's members retain their claims. Claims made while
+            # isolated are appended again with the next epoch.
+            self._logger.error("log append queue is full")
             return False
         return True
--- a/sesamecross/steward/demand_tracker.py
+++ b/sesamecross/steward/demand_tracker.py
@@ -1,7 +1,7 @@
-"""What callers ask for, as rates by model and adapter.
+"""Demand as request rates by model and adapter.
 
-Why: placement follows demand, which moves tenfold within an hour. Each
-steward smooths what its entry counted; the rates of all spread by gossip.
+Placement follows demand, which can change tenfold within an hour. Each
+steward smooths its entry's counts exponentially and gossips the rates.
 """
 
 import math
@@ -12,12 +12,12 @@
 
 DEMAND_PREFIX = "demand/"
 HALF_LIFE_MS = 20_000
-# Rates below this are noise of the smoothing and are dropped.
-SMALLEST_RATE = 0.001
+# Calls per second; lower rates are residue of the smoothing and are dropped.
+MIN_RATE_PER_S = 0.001
 
 
 class DemandTracker:
-    """Smooths one entry's counts and sums up those of all."""
+    """Smooths one entry's counts and sums the rates of all entries."""
 
     __slots__ = ("_me", "_store", "_recorder", "_rates")
 
@@ -32,15 +32,15 @@
         self._recorder = recorder
         self._rates: dict[str, float] = {}
 
-    def report(self, calls: dict[str, int], interval_ms: int) -> None:
-        """Takes in an entry's counts and publishes the smoothed rates."""
-        keep = math.exp2(-interval_ms / HALF_LIFE_MS)
+    def record_counts(self, calls: dict[str, int], interval_ms: int) -> None:
+        """Adds an entry's counts and publishes the smoothed rates."""
+        decay = math.exp2(-interval_ms / HALF_LIFE_MS)
         names = self._rates.keys() | calls.keys()
         rates = {}
         for name in names:
-            now = calls.get(name, 0) * 1000 / max(1, interval_ms)
-            rate = self._rates.get(name, 0.0) * keep + now * (1 - keep)
-            if rate >= SMALLEST_RATE:
+            current = calls.get(name, 0) * 1000 / max(1, interval_ms)
+            rate = self._rates.get(name, 0.0) * decay + current * (1 - decay)
+            if rate >= MIN_RATE_PER_S:
                 rates[name] = round(rate, 4)
         if rates == self._rates:
             return
@@ -57,7 +57,7 @@
         self._store.put(item)
 
     def rates(self) -> dict[str, float]:
-        """Returns calls a second over all entries, by name."""
+        """Returns calls per second over all entries, by name."""
         total: dict[str, float] = {}
         for item in self._store.with_prefix(DEMAND_PREFIX):
             if not isinstance(item.value, dict):
--- a/sesamecross/steward/lease_manager.py
+++ b/sesamecross/steward/lease_manager.py
@@ -1,7 +1,7 @@
-"""Keeps or challenges the zone's placement lease.
+"""Renews or challenges the zone's placement lease.
 
-Why: one steward of a zone writes intents at a time. A lapse is noticed by
-the own monotonic clock; who holds the lease is decided on the log.
+One steward of a zone writes intents at a time. Expiry is detected with this
+process's monotonic clock; the order on the log decides who holds the lease.
 """
 
 import asyncio
@@ -20,14 +20,14 @@
 from sesamecross.steward import log_writer
 
 TICK_S = 0.1
-STEP_MS = 500
-# A challenge that got no verdict for this long is written anew; the earlier
-# record, if it shows up, loses or wins by the same rule.
-CHALLENGE_MS = 3000
+RANK_DELAY_MS = 500
+# A challenge without a result at replay is written again after this time. The
+# same rule decides about the earlier record if it appears on the log later.
+CHALLENGE_TIMEOUT_MS = 3000
 
 
 class LeaseManager:
-    """Component that holds the zone's lease when it is this steward's."""
+    """Component that acquires, renews and releases the zone's lease."""
 
     __slots__ = (
         "_me",
@@ -37,8 +37,8 @@
         "_membership",
         "_clock",
         "_recorder",
-        "_renew_ms",
-        "_watch",
+        "_renew_interval_ms",
+        "_expiry_detector",
         "_renewed_ms",
         "_challenged_ms",
         "_logger",
@@ -63,63 +63,66 @@
         self._membership = membership
         self._clock = clock
         self._recorder = recorder
-        self._renew_ms = settings.lease_renew_ms
-        self._watch = leases.LeaseExpiryDetector(
-            settings.lease_lapse_ms, STEP_MS
+        self._renew_interval_ms = settings.lease_renew_ms
+        self._expiry_detector = leases.LeaseExpiryDetector(
+            settings.lease_lapse_ms, RANK_DELAY_MS
         )
         self._renewed_ms = 0
-        self._challenged_ms = -CHALLENGE_MS
+        self._challenged_ms = -CHALLENGE_TIMEOUT_MS
         self._logger = logs.get_logger("lease")
         self._leaving = False
-        replica.listen(self._on_event)
+        replica.add_listener(self._on_event)
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The component's name in logs."""
         return "lease"
 
-    def held(self) -> leases.Lease | None:
-        """Returns the lease if this incarnation holds it."""
+    def held_lease(self) -> leases.Lease | None:
+        """Returns the lease if this incarnation holds it, else None."""
         lease = self._replica.state.leases.leases.get(self._me.zone)
         if lease is None or lease.holder != self._me.incarnation:
             return None
         return lease
 
     async def run(self) -> None:
-        """Renews or challenges until cancelled."""
+        """Renews or challenges the lease until cancelled."""
         while True:
             await asyncio.sleep(TICK_S)
             if self._reader.caught_up and not self._leaving:
                 self._tick(self._clock.monotonic_ms())
 
     async def stop(self) -> None:
-        """Gives the lease back, so that nobody waits for its lapse."""
+        """Releases the lease, so that no successor waits for its expiry."""
         self._leaving = True
-        lease = self.held()
+        lease = self.held_lease()
         if lease is None:
             return
         try:
             self._writer.submit(records.LeaseReleased(lease.zone, lease.offset))
         except log_writer.QueueFullError:
-            # Others take it after its lapse; the stop itself must go on.
-            self._logger.warning("the queue for the log is full, lease lapses")
+            # Others take it after its expiry; the shutdown must go on.
+            self._logger.warning(
+                "log append queue is full, lease is left to expire"
+            )
             return
-        self._logger.info("lease is given back")
+        self._logger.info("lease released")
 
     def _tick(self, now_ms: int) -> None:
-        lease = self.held()
+        lease = self.held_lease()
         if lease is not None:
-            if now_ms - self._renewed_ms >= self._renew_ms:
+            if now_ms - self._renewed_ms >= self._renew_interval_ms:
                 self._renewed_ms = now_ms
-                # While the log is away a queued renewal is enough.
+                # While the log is unreachable, one queued renewal is enough.
                 if self._writer.reachable:
                     self._writer.submit(
                         records.LeaseRenewed(lease.zone, lease.offset)
                     )
             return
         if not (self._reader.reachable and self._writer.reachable):
-            # Nobody can renew while the log is away: no lapse is observed.
-            self._watch.reset_timer(now_ms)
+            # No holder can renew while the log is unreachable, so that time
+            # does not count towards expiry.
+            self._expiry_detector.reset_timer(now_ms)
             return
         self._challenge(now_ms)
 
@@ -127,16 +130,16 @@
         current = self._replica.state.leases.leases.get(self._me.zone)
         alive = self._membership.alive_in_zone()
         rank = alive.index(self._me.incarnation.instance)
-        if not self._watch.may_challenge(now_ms, current, rank):
+        if not self._expiry_detector.may_challenge(now_ms, current, rank):
             return
-        if now_ms - self._challenged_ms < CHALLENGE_MS:
+        if now_ms - self._challenged_ms < CHALLENGE_TIMEOUT_MS:
             return
         self._challenged_ms = now_ms
         supersedes = current.offset if current else 0
         self._writer.submit(
             records.LeaseTaken(self._me.zone, self._me.incarnation, supersedes)
         )
-        self._logger.info("lease is challenged", supersedes=supersedes)
+        self._logger.info("lease challenged", supersedes=supersedes)
 
     def _on_event(self, event: replay.AppliedRecord) -> None:
         now_ms = self._clock.monotonic_ms()
@@ -144,7 +147,7 @@
             case records.LeaseRenewed(zone=zone) if (
                 zone == self._me.zone and event.result
             ):
-                self._watch.reset_timer(now_ms)
+                self._expiry_detector.reset_timer(now_ms)
             case records.LeaseTaken(zone=zone) if event.result is not None:
                 lease: leases.Lease = event.result
                 holder = lease.holder.instance
