--- a/sesamecross/steward/log_reader.py
+++ b/sesamecross/steward/log_reader.py
@@ -106,7 +106,7 @@
         if reachable:
             self._logger.info("log reads succeed")
         else:
-            self._logger.warning("log reads fail", reason=reason)
+            self._logger.warning("reads fail", reason=reason)
         self._recorder.add(
             timeline.EventKind.LOG,
             "reads are answered" if reachable else "reads fail",
