--- a/sesamecross/entry/app.py
+++ b/sesamecross/entry/app.py
@@ -38,10 +38,10 @@
             f"entry/{settings.instance}", settings.zone, clock
         )
         rng = random.Random(os.urandom(8))
-        place = routing.EntryLocation(settings.zone, settings.region, {})
+        location = routing.EntryLocation(settings.zone, settings.region, {})
         self._state = state_lib.EntryState(self.recorder)
         self._dispatcher = model_dispatcher.ModelDispatcher(
-            place, routing.policy_of(settings.policy), clock, rng
+            location, routing.policy_of(settings.policy), clock, rng
         )
         self._link = steward_link.StewardLink(
             settings, self.recorder, self._on_view, self._state.take_demand
@@ -105,13 +105,13 @@
         await asyncio.sleep(self._settings.balancer_lag_ms / 1000)
         self._state.stop_admission()
         left_s = self._settings.drain_ms / 1000
-        said_s = DRAIN_LOG_INTERVAL_S
+        until_log_s = DRAIN_LOG_INTERVAL_S
         while self._state.active_calls and left_s > 0:
             await asyncio.sleep(DRAIN_POLL_S)
             left_s -= DRAIN_POLL_S
-            said_s -= DRAIN_POLL_S
-            if said_s <= 0:
-                said_s = DRAIN_LOG_INTERVAL_S
+            until_log_s -= DRAIN_POLL_S
+            if until_log_s <= 0:
+                until_log_s = DRAIN_LOG_INTERVAL_S
                 self._logger.info(
                     "draining", open_calls=self._state.active_calls
                 )
@@ -132,5 +132,5 @@
         if changed:
             entries = max(1, view.entries)
             self._dispatcher.configure(snapshot.declarations, draining, entries)
-        self._dispatcher.reports(view.reports, draining)
+        self._dispatcher.update_reports(view.reports, draining)
         return snapshot.version
--- a/sesamecross/entry/app_test.py
+++ b/sesamecross/entry/app_test.py
@@ -55,12 +55,12 @@
         "PATH_INFO": "/v1/models",
         "HTTP_AUTHORIZATION": "Bearer key",
     }
-    heads = []
+    statuses = []
     body = entry._http._server.wsgi_app(
-        environ, lambda status, _headers: heads.append(status)
+        environ, lambda status, _headers: statuses.append(status)
     )
     document = json.loads(b"".join(body))
-    assert heads == ["503 Service Unavailable"]
+    assert statuses == ["503 Service Unavailable"]
     assert document["type"].endswith(":stopping")
     assert document["executed"] == "no"
 
@@ -77,15 +77,15 @@
     entry._http.start()
     try:
         caller = http.client.HTTPConnection(entry._http.address, timeout=10)
-        heads = []
-        for drains in (False, True):
-            if drains:
+        connection_headers = []
+        for is_draining in (False, True):
+            if is_draining:
                 asyncio.run(entry.drain())
             caller.request("GET", "/healthz")
             answer = caller.getresponse()
             answer.read()
-            heads.append(answer.getheader("Connection"))
+            connection_headers.append(answer.getheader("Connection"))
         caller.close()
     finally:
         entry._http.shut_down()
-    assert heads == [None, "close"]
+    assert connection_headers == [None, "close"]
--- a/sesamecross/entry/http_app.py
+++ b/sesamecross/entry/http_app.py
@@ -31,7 +31,7 @@
 from sesamecross.runtime import metrics as metrics_lib
 from sesamecross.utils import digest
 
-_REASONS = {
+_REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     401: "Unauthorized",
@@ -45,31 +45,31 @@
     504: "Gateway Timeout",
 }
 _SERVICE_PATH = re.compile(r"^/services/([^/]+)(/.*)?$")
-_HEADERS_PASSED = ("CONTENT_TYPE", "HTTP_ACCEPT", "HTTP_IDEMPOTENCY_KEY")
-_MOST_PRIORITY = 9
+_FORWARDED_HEADERS = ("CONTENT_TYPE", "HTTP_ACCEPT", "HTTP_IDEMPOTENCY_KEY")
+_MAX_PRIORITY = 9
 CORRELATION_HEADER = "X-Correlation-Id"
 
 
 def _status_line(status: int) -> str:
-    return f"{status} {_REASONS.get(status, 'Status')}"
+    return f"{status} {_REASON_PHRASES.get(status, 'Status')}"
 
 
 class _Request:
     """One caller's request, as far as its head tells."""
 
-    __slots__ = ("environ", "call_id", "path", "method", "began_s")
+    __slots__ = ("environ", "call_id", "path", "method", "started_s")
 
     def __init__(self, environ: dict):
         self.environ = environ
         self.call_id = uuid.uuid4().hex
         self.path = environ.get("PATH_INFO", "/")
         self.method = environ["REQUEST_METHOD"]
-        self.began_s = time.monotonic()
+        self.started_s = time.monotonic()
 
     def header(self, name: str) -> str:
         return self.environ.get(name, "")
 
-    def number(self, name: str) -> int | None:
+    def int_header(self, name: str) -> int | None:
         text = self.header(name)
         return int(text) if text.isdecimal() and len(text) < 12 else None
 
@@ -104,24 +104,26 @@
         """Answers one request."""
         request = _Request(environ)
         if request.path in ("/healthz", "/readyz", "/metrics"):
-            return self._platform(request, start_response)
+            return self._handle_operations(request, start_response)
         snapshot = self._state.snapshot
         if snapshot is None:
             # Nothing is known yet, so nothing can be promised or checked.
-            answer = self._unclaimed(request, refusal.no_upstream("any call"))
-            return self._refuse(request, answer, start_response)
-        caller = self._caller(request, snapshot)
+            problem = self._refusal_before_claim(
+                request, refusal.no_upstream("any call")
+            )
+            return self._send_refusal(request, problem, start_response)
+        caller = self._authenticate(request, snapshot)
         if caller is None:
-            answer = refusal.unauthorized()
-            return self._refuse(request, answer, start_response)
-        refused = self._state.admit_call(caller)
-        if refused is not None:
-            answer = self._unclaimed(request, refused)
-            return self._refuse(request, answer, start_response)
-        return self._counted(request, caller, snapshot, start_response)
-
-    def _unclaimed(
-        self, request: _Request, answer: refusal.Refusal
+            problem = refusal.unauthorized()
+            return self._send_refusal(request, problem, start_response)
+        problem = self._state.admit_call(caller)
+        if problem is not None:
+            problem = self._refusal_before_claim(request, problem)
+            return self._send_refusal(request, problem, start_response)
+        return self._handle_admitted(request, caller, snapshot, start_response)
+
+    def _refusal_before_claim(
+        self, request: _Request, problem: refusal.Refusal
     ) -> refusal.Refusal:
         """Returns a refusal that is true for a call with a key too.
 
@@ -130,10 +132,10 @@
         """
         if request.header("HTTP_IDEMPOTENCY_KEY"):
             unknown = refusal.Executed.UNKNOWN
-            return dataclasses.replace(answer, executed=unknown)
-        return answer
+            return dataclasses.replace(problem, executed=unknown)
+        return problem
 
-    def _counted(
+    def _handle_admitted(
         self,
         request: _Request,
         caller: data.Caller,
@@ -144,13 +146,13 @@
         try:
             yield from self._route(request, caller, snapshot, start_response)
         except http_server.SlowBody as error:
-            answer = refusal.Refusal(
+            problem = refusal.Refusal(
                 408,
                 "body-not-received",
                 f"The body was not received ({error})",
                 "Send the whole body without pauses",
             )
-            yield from self._refuse(request, answer, start_response)
+            yield from self._send_refusal(request, problem, start_response)
         finally:
             self._state.release_call(caller)
 
@@ -162,23 +164,27 @@
         start_response: Any,
     ) -> Iterable[bytes]:
         if request.path == "/v1/models" and request.method == "GET":
-            return self._models(request, caller, snapshot, start_response)
+            return self._handle_model_list(
+                request, caller, snapshot, start_response
+            )
         paths = (model_request.CHAT_PATH, model_request.COMPLETIONS_PATH)
         if request.path in paths and request.method == "POST":
-            return self._model(request, caller, snapshot, start_response)
+            return self._handle_model_call(
+                request, caller, snapshot, start_response
+            )
         match = _SERVICE_PATH.match(request.path)
         if match:
-            return self._service(
+            return self._handle_service_call(
                 request, caller, snapshot, match, start_response
             )
-        answer = refusal.Refusal(
+        problem = refusal.Refusal(
             404, "no-such-path", "There is no such path", "See /v1/models"
         )
-        return self._refuse(request, answer, start_response)
+        return self._send_refusal(request, problem, start_response)
 
     # -- for the platform --------------------------------------------------
 
-    def _platform(
+    def _handle_operations(
         self, request: _Request, start_response: Any
     ) -> Iterable[bytes]:
         if request.path == "/metrics":
@@ -204,7 +210,7 @@
 
     # -- callers -------------------------------------------------------------
 
-    def _caller(
+    def _authenticate(
         self, request: _Request, snapshot: state_lib.Snapshot
     ) -> data.Caller | None:
         scheme, _, key = request.header("HTTP_AUTHORIZATION").partition(" ")
@@ -212,27 +218,27 @@
             return None
         return snapshot.callers.get(digest.of_bearer_key(key.strip()))
 
-    def _refuse(
+    def _send_refusal(
         self,
         request: _Request,
-        answer: refusal.Refusal,
+        problem: refusal.Refusal,
         start_response: Any,
     ) -> list[bytes]:
         self._metrics.count(
             "sesamecross_refusals_total",
             "Refusals by kind.",
-            {"kind": answer.slug, "executed": answer.executed.value},
+            {"kind": problem.slug, "executed": problem.executed.value},
         )
-        body = answer.body(request.call_id)
+        body = problem.body(request.call_id)
         headers = [
-            *answer.headers(),
+            *problem.headers(),
             ("Content-Length", str(len(body))),
             (CORRELATION_HEADER, request.call_id),
         ]
-        start_response(_status_line(answer.status), headers)
+        start_response(_status_line(problem.status), headers)
         return [body]
 
-    def _whole(
+    def _send_response(
         self,
         request: _Request,
         status: int,
@@ -249,27 +255,33 @@
         return [body]
 
     def _deadline_ms(self, request: _Request) -> int:
-        longest = self._settings.default_deadline_ms
-        wanted = request.number("HTTP_X_DEADLINE_MS")
-        allowed = min(wanted, longest) if wanted else longest
-        return self._clock.monotonic_ms() + allowed
+        max_timeout_ms = self._settings.default_deadline_ms
+        requested_ms = request.int_header("HTTP_X_DEADLINE_MS")
+        timeout_ms = (
+            min(requested_ms, max_timeout_ms)
+            if requested_ms
+            else max_timeout_ms
+        )
+        return self._clock.monotonic_ms() + timeout_ms
 
     # -- models --------------------------------------------------------------
 
-    def _models(
+    def _handle_model_list(
         self,
         request: _Request,
         caller: data.Caller,
         snapshot: state_lib.Snapshot,
         start_response: Any,
     ) -> list[bytes]:
-        declared = snapshot.declarations
+        declarations = snapshot.declarations
         names = [
-            n for n in declared.models if model_request.is_allowed(caller, n)
+            n
+            for n in declarations.models
+            if model_request.is_allowed(caller, n)
         ]
         names += [
             adapter.name
-            for adapter in declared.adapters.values()
+            for adapter in declarations.adapters.values()
             if model_request.is_allowed(caller, adapter.name)
             or model_request.is_allowed(caller, adapter.model)
         ]
@@ -277,7 +289,7 @@
             start_response, openai_response.model_list(sorted(names))
         )
 
-    def _model(
+    def _handle_model_call(
         self,
         request: _Request,
         caller: data.Caller,
@@ -287,76 +299,84 @@
         body = http_server.read_body(request.environ)
         parsed = model_request.parse(request.path, body, caller, snapshot)
         if isinstance(parsed, Failure):
-            return self._refuse(request, parsed.failure(), start_response)
-        wanted = parsed.unwrap()
-        self._state.count_demand(wanted.target)
-        call = self._routing_call(request, caller, wanted, snapshot)
-        relayed = model_call.ModelCall(
+            return self._send_refusal(request, parsed.failure(), start_response)
+        parsed_request = parsed.unwrap()
+        self._state.count_demand(parsed_request.target)
+        call = self._routing_call(request, caller, parsed_request, snapshot)
+        active_call = model_call.ModelCall(
             call,
-            wanted,
+            parsed_request,
             self._dispatcher,
             self._stream_relay,
             self._engines,
             self._recorder,
             self._settings.caller_idle_ms / 1000,
         )
-        return self._relay(request, wanted, relayed, start_response)
+        return self._relay_model_call(
+            request, parsed_request, active_call, start_response
+        )
 
     def _routing_call(
         self,
         request: _Request,
         caller: data.Caller,
-        wanted: model_request.ModelRequest,
+        parsed_request: model_request.ModelRequest,
         snapshot: state_lib.Snapshot,
     ) -> routing.Call:
-        promise = snapshot.declarations.promises[wanted.model.promise]
-        asked = request.number("HTTP_X_PRIORITY")
+        promise = snapshot.declarations.promises[parsed_request.model.promise]
+        requested_priority = request.int_header("HTTP_X_PRIORITY")
         priority = promise.priority
-        if asked is not None:
+        if requested_priority is not None:
             # A caller may step back behind its class, never before it.
-            priority = min(_MOST_PRIORITY, max(priority, asked))
+            priority = min(_MAX_PRIORITY, max(priority, requested_priority))
         return routing.Call(
             request.call_id,
             caller.name,
-            wanted.target,
+            parsed_request.target,
             promise,
-            wanted.prompt_tokens(),
-            wanted.prompt_block_hashes(),
+            parsed_request.estimate_prompt_tokens(),
+            parsed_request.prompt_block_hashes(),
             self._clock.monotonic_ms(),
             self._deadline_ms(request),
             priority,
         )
 
-    def _relay(
+    def _relay_model_call(
         self,
         request: _Request,
-        wanted: model_request.ModelRequest,
-        relayed: model_call.ModelCall,
+        parsed_request: model_request.ModelRequest,
+        active_call: model_call.ModelCall,
         start_response: Any,
     ) -> Iterator[bytes]:
         try:
             # The head of the answer is sent with the first events, so that
             # a refusal before them still has its own status.
-            first = relayed.first()
-            if wanted.stream:
-                yield from self._streamed(
-                    request, wanted, relayed, first, start_response
+            first_chunks = active_call.read_first_chunks()
+            if parsed_request.stream:
+                yield from self._stream_response(
+                    request,
+                    parsed_request,
+                    active_call,
+                    first_chunks,
+                    start_response,
                 )
             else:
                 document = sinks.DocumentSink()
-                document.accept(first)
-                relayed.rest(document)
+                document.write(first_chunks)
+                active_call.relay_rest(document)
                 body = openai_response.encode_document(
-                    request.call_id, wanted, document.chunks
+                    request.call_id, parsed_request, document.chunks
                 )
-                yield from self._whole(
+                yield from self._send_response(
                     request, 200, "application/json", body, start_response
                 )
-        except model_call.CallRefusedError as refused:
-            yield from self._refuse(request, refused.answer, start_response)
+        except model_call.CallRefusedError as error:
+            yield from self._send_refusal(
+                request, error.problem, start_response
+            )
         except model_call.EngineRejectedError as error:
             rejected = error.rejected
-            yield from self._whole(
+            yield from self._send_response(
                 request,
                 rejected.status,
                 rejected.content_type,
@@ -364,15 +384,15 @@
                 start_response,
             )
         finally:
-            relayed.close()
-            self._observe(request, wanted, relayed)
+            active_call.close()
+            self._record_call(request, parsed_request, active_call)
 
-    def _streamed(
+    def _stream_response(
         self,
         request: _Request,
-        wanted: model_request.ModelRequest,
-        relayed: model_call.ModelCall,
-        first: list[answer_validator.Chunk],
+        parsed_request: model_request.ModelRequest,
+        active_call: model_call.ModelCall,
+        first_chunks: list[answer_validator.Chunk],
         start_response: Any,
     ) -> Iterator[bytes]:
         headers = [
@@ -382,39 +402,41 @@
         ]
         start_response("200 OK", headers)
         connection = request.environ[http_server.CONNECTION]
-        yield openai_response.encode_events(first, wanted.wants_usage)
+        yield openai_response.encode_events(
+            first_chunks, parsed_request.wants_usage
+        )
         # How the answer is framed is known only now that its head is sent.
         sink = sinks.CallerSink(
-            connection.socket, connection.is_chunked, wanted.wants_usage
+            connection.socket, connection.is_chunked, parsed_request.wants_usage
         )
         try:
-            relayed.rest(sink)
+            active_call.relay_rest(sink)
             yield openai_response.DONE_EVENT
-        except model_call.CallerLeft:
+        except model_call.CallAbandonedError:
             # Nothing more can be sent on this connection.
             connection.abort()
-        except model_call.CallRefusedError as refused:
+        except model_call.CallRefusedError as error:
             # The head is gone, so the refusal comes as an event, without
             # the closing mark: no client takes the answer for whole.
-            body = refused.answer.body(request.call_id)
+            body = error.problem.body(request.call_id)
             yield b"event: error\ndata: " + body + b"\n\n"
         finally:
             sink.close()
 
-    def _observe(
+    def _record_call(
         self,
         request: _Request,
-        wanted: model_request.ModelRequest,
-        relayed: model_call.ModelCall,
+        parsed_request: model_request.ModelRequest,
+        active_call: model_call.ModelCall,
     ) -> None:
-        labels = {"model": wanted.model.name}
+        labels = {"model": parsed_request.model.name}
         self._logger.info(
             "call ended",
             correlation_id=request.call_id,
-            target=wanted.target,
-            tokens=relayed.tokens,
-            attempts=relayed.attempts,
-            seconds=round(time.monotonic() - request.began_s, 3),
+            target=parsed_request.target,
+            tokens=active_call.tokens,
+            attempts=active_call.attempts,
+            seconds=round(time.monotonic() - request.started_s, 3),
         )
         self._metrics.count(
             "sesamecross_model_calls_total", "Calls to models.", labels
@@ -423,19 +445,19 @@
             "sesamecross_tokens_total",
             "Tokens relayed to callers.",
             labels,
-            relayed.tokens,
+            active_call.tokens,
         )
-        if relayed.first_s is not None:
+        if active_call.first_token_s is not None:
             self._metrics.observe(
                 "sesamecross_first_token_seconds",
                 "From the request's head to the first token.",
                 labels,
-                relayed.first_s - request.began_s,
+                active_call.first_token_s - request.started_s,
             )
 
     # -- services ------------------------------------------------------------
 
-    def _service(
+    def _handle_service_call(
         self,
         request: _Request,
         caller: data.Caller,
@@ -445,17 +467,19 @@
     ) -> list[bytes]:
         name = match.group(1)
         service = snapshot.declarations.services.get(name)
-        allowed = data.WILDCARD in caller.services or name in caller.services
-        if service is None or not allowed:
-            answer = refusal.forbidden(f"Service {name}")
-            return self._refuse(request, answer, start_response)
+        is_permitted = (
+            data.WILDCARD in caller.services or name in caller.services
+        )
+        if service is None or not is_permitted:
+            problem = refusal.forbidden(f"Service {name}")
+            return self._send_refusal(request, problem, start_response)
         key = request.header("HTTP_IDEMPOTENCY_KEY")
         if len(key) > service_call.MAX_KEY_CHARS:
-            answer = refusal.bad_request(
+            problem = refusal.bad_request(
                 "The Idempotency-Key is too long",
                 f"Use at most {service_call.MAX_KEY_CHARS} characters",
             )
-            return self._refuse(request, answer, start_response)
+            return self._send_refusal(request, problem, start_response)
         outcome = self._services.call(
             service_call.ServiceRequest(
                 request.call_id,
@@ -463,7 +487,7 @@
                 service,
                 request.method,
                 _path_and_query(match, request),
-                _passed_headers(request),
+                _forwarded_headers(request),
                 http_server.read_body(request.environ),
                 key,
                 self._deadline_ms(request),
@@ -487,14 +511,14 @@
                 call_id=request.call_id,
                 model=name,
             )
-            return self._refuse(request, outcome, start_response)
+            return self._send_refusal(request, outcome, start_response)
         self._recorder.add(
             timeline.EventKind.CALL,
             f"{request.method} answered {outcome.status}",
             call_id=request.call_id,
             model=name,
         )
-        return self._whole(
+        return self._send_response(
             request,
             outcome.status,
             outcome.content_type,
@@ -509,11 +533,11 @@
     return f"{path}?{query}" if query else path
 
 
-def _passed_headers(request: _Request) -> tuple[tuple[str, str], ...]:
-    passed = []
-    for name in _HEADERS_PASSED:
+def _forwarded_headers(request: _Request) -> tuple[tuple[str, str], ...]:
+    forwarded = []
+    for name in _FORWARDED_HEADERS:
         value = request.header(name)
         if value:
             title = name.removeprefix("HTTP_").replace("_", "-").title()
-            passed.append((title, value))
-    return tuple(passed)
+            forwarded.append((title, value))
+    return tuple(forwarded)
--- a/sesamecross/entry/model_call.py
+++ b/sesamecross/entry/model_call.py
@@ -29,9 +29,9 @@
 class CallRefusedError(Exception):
     """The call gets a refusal as its final answer."""
 
-    def __init__(self, answer: refusal.Refusal):
-        super().__init__(answer.title)
-        self.answer = answer
+    def __init__(self, problem: refusal.Refusal):
+        super().__init__(problem.title)
+        self.problem = problem
 
 
 class EngineRejectedError(Exception):
@@ -42,7 +42,7 @@
         self.rejected = rejected
 
 
-class CallerLeft(Exception):
+class CallAbandonedError(Exception):
     """Nobody waits for the answer any more."""
 
 
@@ -71,12 +71,12 @@
         self._recorder = recorder
         self._caller_idle_timeout_s = caller_idle_timeout_s
         self._validator = answer_validator.AnswerValidator(call.call_id)
-        self._began_s = time.monotonic()
+        self._started_s = time.monotonic()
         self._dispatch: dispatch.Dispatch | None = None
         self._stream: engine_stream.EngineStream | None = None
-        self._first_s: float | None = None
-        self._last_s = 0.0
-        self._ended = False
+        self._first_token_s: float | None = None
+        self._last_token_s = 0.0
+        self._is_ended = False
         self.attempts = 0
 
     @property
@@ -85,11 +85,11 @@
         return self._validator.tokens
 
     @property
-    def first_s(self) -> float | None:
+    def first_token_s(self) -> float | None:
         """Monotonic seconds at the first token, if there was one."""
-        return self._first_s
+        return self._first_token_s
 
-    def first(self) -> list[answer_validator.Chunk]:
+    def read_first_chunks(self) -> list[answer_validator.Chunk]:
         """Returns the first events of the answer.
 
         Raises:
@@ -99,17 +99,17 @@
         self._dispatcher.submit(self._call)
         while True:
             self._stream = self._next_stream()
-            chunks = self._first_of(self._stream)
+            chunks = self._read_first_chunks(self._stream)
             if chunks:
                 self._dispatcher.first_token(self._call.call_id)
                 return chunks
 
-    def rest(self, sink: sinks.Sink) -> None:
+    def relay_rest(self, sink: sinks.Sink) -> None:
         """Moves all further events into `sink`.
 
         Raises:
           Refused: The answer can't be brought to its end.
-          CallerLeft: The caller went away; the engine has been told.
+          CallAbandonedError: The caller went away; the engine has been told.
         """
         while True:
             if self._stream is None:
@@ -123,24 +123,24 @@
                 self._call.deadline_ms / 1000,
             )
             result = self._stream_relay.run_transfer(transfer)
-            self._first_s = self._first_s or transfer.first_s
-            self._last_s = max(self._last_s, transfer.last_token_s)
+            self._first_token_s = self._first_token_s or transfer.first_token_s
+            self._last_token_s = max(self._last_token_s, transfer.last_token_s)
             self._stream.close()
             self._stream = None
             match result:
                 case stream_relay_lib.Completed():
-                    self._finish()
+                    self._complete()
                     return
-                case stream_relay_lib.CallerLeft(reason=reason):
-                    raise CallerLeft(reason)
+                case stream_relay_lib.CallerDisconnected(reason=reason):
+                    raise CallAbandonedError(reason)
                 case stream_relay_lib.Interrupted(reason=reason):
-                    self._failed(dispatch.MayHaveRun(), reason)
+                    self._report_failure(dispatch.MayHaveRun(), reason)
 
     def close(self) -> None:
         """Gives back whatever the call still holds."""
-        if self._ended:
+        if self._is_ended:
             return
-        self._ended = True
+        self._is_ended = True
         if self._stream is not None:
             self._stream.close()
         upstream = ""
@@ -148,7 +148,7 @@
             upstream = self._dispatch.upstream
             self._engines.cancel(self._dispatch.url, self._call.call_id)
         self._dispatcher.abandoned(self._call.call_id)
-        self._note(
+        self._record_event(
             timeline.EventKind.CALL,
             f"caller left after {self.tokens} tokens, engine is told",
             upstream,
@@ -161,27 +161,27 @@
         while True:
             action = self._dispatcher.next_action(self._call.call_id)
             if isinstance(action, dispatch.Refuse):
-                self._refused(action.refusal)
+                self._raise_refusal(action.refusal)
             self._dispatch = action
             self.attempts = action.attempt
-            self._note_route(action)
+            self._record_route(action)
             if action.backoff_ms:
                 time.sleep(action.backoff_ms / 1000)
-            stream = self._open(action)
+            stream = self._open_stream(action)
             if stream is not None:
                 return stream
 
-    def _refused(self, answer: refusal.Refusal) -> None:
-        self._ended = True
+    def _raise_refusal(self, problem: refusal.Refusal) -> None:
+        self._is_ended = True
         self._dispatcher.discard_mailbox(self._call.call_id)
-        self._note(
+        self._record_event(
             timeline.EventKind.REFUSAL,
-            f"{answer.slug}, executed {answer.executed.value}",
+            f"{problem.slug}, executed {problem.executed.value}",
             "",
         )
-        raise CallRefusedError(answer)
+        raise CallRefusedError(problem)
 
-    def _open(
+    def _open_stream(
         self, action: dispatch.Dispatch
     ) -> engine_stream.EngineStream | None:
         opened = engine_stream.EngineStream.open(self._engine_request(action))
@@ -189,11 +189,11 @@
             case engine_stream.EngineStream():
                 return opened
             case http_client.NotSent(reason=reason):
-                self._failed(dispatch.NotRun(), reason)
+                self._report_failure(dispatch.NotRun(), reason)
             case http_client.Failed(reason=reason):
-                self._failed(dispatch.MayHaveRun(), reason)
+                self._report_failure(dispatch.MayHaveRun(), reason)
             case engine_stream.Rejected() as rejected:
-                self._rejected(rejected)
+                self._handle_rejection(rejected)
         return None
 
     def _engine_request(
@@ -215,7 +215,7 @@
             resume_after,
         )
 
-    def _first_of(
+    def _read_first_chunks(
         self, stream: engine_stream.EngineStream
     ) -> list[answer_validator.Chunk]:
         """Waits for the attempt's first events; none if it failed."""
@@ -225,13 +225,15 @@
                 events = stream.read(
                     max(0.05, min(ENGINE_IDLE_TIMEOUT_S, left_s))
                 )
-                taken = [
+                validated = [
                     self._validator.process_event(event) for event in events
                 ]
-                chunks = [chunk for chunk in taken if chunk is not None]
+                chunks = [chunk for chunk in validated if chunk is not None]
                 if chunks:
                     if self.tokens:
-                        self._first_s = self._last_s = time.monotonic()
+                        self._first_token_s = self._last_token_s = (
+                            time.monotonic()
+                        )
                     return chunks
             reason = "the answer ended early"
         except (
@@ -241,27 +243,31 @@
             reason = str(error)
         stream.close()
         self._stream = None
-        self._failed(dispatch.MayHaveRun(), reason)
+        self._report_failure(dispatch.MayHaveRun(), reason)
         return []
 
-    def _rejected(self, rejected: engine_stream.Rejected) -> None:
+    def _handle_rejection(self, rejected: engine_stream.Rejected) -> None:
         if rejected.not_run == "leaving":
-            self._failed(dispatch.NotRun(leaving=True), "leaving")
+            self._report_failure(dispatch.NotRun(leaving=True), "leaving")
         elif rejected.not_run == "not-resident":
-            self._failed(dispatch.NotRun(absent=True), "not resident")
+            self._report_failure(dispatch.NotRun(absent=True), "not resident")
         elif rejected.status == 400 and self.tokens:
             # This engine can't resume: the next attempt repeats the prompt
             # with the text that the caller has.
             self._validator.ignores_event_ids = True
-            self._failed(dispatch.MayHaveRun(), "can't resume")
+            self._report_failure(dispatch.MayHaveRun(), "can't resume")
         elif rejected.status == 429 or rejected.status >= 500:
-            self._failed(dispatch.MayHaveRun(), f"HTTP {rejected.status}")
+            self._report_failure(
+                dispatch.MayHaveRun(), f"HTTP {rejected.status}"
+            )
         else:
-            self._end_with(False, "ended by the engine's error")
+            self._end_call(False, "ended by the engine's error")
             raise EngineRejectedError(rejected)
 
-    def _failed(self, failure: dispatch.FailureKind, reason: str) -> None:
-        self._note(
+    def _report_failure(
+        self, failure: dispatch.FailureKind, reason: str
+    ) -> None:
+        self._record_event(
             timeline.EventKind.RETRY,
             f"attempt {self.attempts} failed: {reason}",
             self._dispatch.upstream,
@@ -270,26 +276,30 @@
 
     # -- ends ------------------------------------------------------------
 
-    def _finish(self) -> None:
-        self._end_with(
+    def _complete(self) -> None:
+        self._end_call(
             True, f"answered, {self.tokens} tokens, {self.attempts} attempts"
         )
 
-    def _end_with(self, complete: bool, what: str) -> None:
-        self._ended = True
-        self._dispatcher.finished(self._call.call_id, self._seen(), complete)
-        self._note(timeline.EventKind.CALL, what, self._dispatch.upstream)
+    def _end_call(self, complete: bool, what: str) -> None:
+        self._is_ended = True
+        self._dispatcher.finished(
+            self._call.call_id, self._observation(), complete
+        )
+        self._record_event(
+            timeline.EventKind.CALL, what, self._dispatch.upstream
+        )
 
-    def _seen(self) -> estimates.Observation:
+    def _observation(self) -> estimates.Observation:
         between_ms = None
         first_ms = None
-        if self._first_s is not None:
+        if self._first_token_s is not None:
             if self.tokens > 1:
-                span_ms = (self._last_s - self._first_s) * 1000
+                span_ms = (self._last_token_s - self._first_token_s) * 1000
                 between_ms = span_ms / (self.tokens - 1)
             if self.attempts == 1:
-                first_ms = (self._first_s - self._began_s) * 1000
-        whole_ms = (time.monotonic() - self._began_s) * 1000
+                first_ms = (self._first_token_s - self._started_s) * 1000
+        whole_ms = (time.monotonic() - self._started_s) * 1000
         return estimates.Observation(
             0.0,
             0.0,
@@ -299,14 +309,16 @@
             self._validator.cached_tokens,
         )
 
-    def _note(self, kind: timeline.EventKind, what: str, upstream: str) -> None:
+    def _record_event(
+        self, kind: timeline.EventKind, what: str, upstream: str
+    ) -> None:
         self._recorder.add(
             kind, what, self._call.call_id, self._call.target, upstream
         )
 
-    def _note_route(self, action: dispatch.Dispatch) -> None:
+    def _record_route(self, action: dispatch.Dispatch) -> None:
         chosen = action.chosen
-        self._note(
+        self._record_event(
             timeline.EventKind.ROUTE,
             f"attempt {action.attempt}, estimates first"
             f" {chosen.first_ms:.0f} ms, between {chosen.between_ms:.0f} ms,"
--- a/sesamecross/entry/model_dispatcher.py
+++ b/sesamecross/entry/model_dispatcher.py
@@ -25,12 +25,12 @@
 
     def __init__(
         self,
-        place: routing.EntryLocation,
+        location: routing.EntryLocation,
         policy: routing.Policy,
         clock: clock_lib.Clock,
         rng: random.Random,
     ):
-        self._dispatcher = dispatch.Dispatcher(place, policy, rng)
+        self._dispatcher = dispatch.Dispatcher(location, policy, rng)
         self._clock = clock
         self._lock = threading.Lock()
         self._mailboxes: dict[str, queue.SimpleQueue] = {}
@@ -53,9 +53,9 @@
 
     def _deliver(self, actions: list[dispatch.Action]) -> None:
         for action in actions:
-            box = self._mailboxes.get(action.call_id)
-            if box is not None:
-                box.put(action)
+            mailbox = self._mailboxes.get(action.call_id)
+            if mailbox is not None:
+                mailbox.put(action)
 
     def configure(
         self,
@@ -66,13 +66,13 @@
         """Takes in accepted declarations and drain marks."""
         with self._lock:
             self._dispatcher.configure(declarations, entries)
-            self._drain(draining)
+            self._apply_draining(draining)
 
-    def _drain(self, draining: frozenset[str]) -> None:
+    def _apply_draining(self, draining: frozenset[str]) -> None:
         for name in self._dispatcher.upstreams:
             self._dispatcher.set_draining(name, name in draining)
 
-    def reports(
+    def update_reports(
         self, reports: tuple[data.UpstreamReport, ...], draining: frozenset[str]
     ) -> None:
         """Takes in a view's reports."""
@@ -80,27 +80,29 @@
             now_ms = self._clock.monotonic_ms()
             for report in reports:
                 self._dispatcher.report(report, now_ms)
-            self._drain(draining)
+            self._apply_draining(draining)
             self._deliver(self._dispatcher.tick(now_ms))
 
     def submit(self, call: routing.Call) -> None:
         """Takes a new call; `next_action` tells what becomes of it."""
         with self._lock:
             self._mailboxes[call.call_id] = queue.SimpleQueue()
-            self._deliver(self._dispatcher.submit(call, self._now()))
+            self._deliver(self._dispatcher.submit(call, self._now_ms()))
 
     def next_action(self, call_id: str) -> dispatch.Action:
         """Waits for the call's next action."""
         return self._mailboxes[call_id].get()
 
     def finished(
-        self, call_id: str, seen: estimates.Observation, complete: bool
+        self, call_id: str, observation: estimates.Observation, complete: bool
     ) -> None:
         """The call ended."""
         with self._lock:
             self._mailboxes.pop(call_id, None)
             self._deliver(
-                self._dispatcher.finished(call_id, seen, complete, self._now())
+                self._dispatcher.finished(
+                    call_id, observation, complete, self._now_ms()
+                )
             )
 
     def first_token(self, call_id: str) -> None:
@@ -112,19 +114,19 @@
         """An attempt failed; `next_action` tells what follows."""
         with self._lock:
             self._deliver(
-                self._dispatcher.failed(call_id, failure, self._now())
+                self._dispatcher.failed(call_id, failure, self._now_ms())
             )
 
     def abandoned(self, call_id: str) -> None:
         """Nobody waits for the call any more."""
         with self._lock:
             self._mailboxes.pop(call_id, None)
-            self._deliver(self._dispatcher.abandoned(call_id, self._now()))
+            self._deliver(self._dispatcher.abandoned(call_id, self._now_ms()))
 
     def discard_mailbox(self, call_id: str) -> None:
         """The call was refused; its mailbox is not needed any more."""
         with self._lock:
             self._mailboxes.pop(call_id, None)
 
-    def _now(self) -> int:
+    def _now_ms(self) -> int:
         return self._clock.monotonic_ms()
--- a/sesamecross/entry/model_request.py
+++ b/sesamecross/entry/model_request.py
@@ -49,7 +49,7 @@
         """Returns the names of the prompt's leading blocks."""
         return prefixes.block_hashes(self.target, self.prompt)
 
-    def prompt_tokens(self) -> int:
+    def estimate_prompt_tokens(self) -> int:
         """Returns a guess of the prompt's tokens."""
         return len(self.prompt) // prefixes.CHARS_PER_TOKEN + 1
 
@@ -68,10 +68,10 @@
         fields["stream"] = True
         fields["stream_options"] = {"include_usage": True}
         if generated:
-            self._continue(fields, generated, tokens)
+            self._add_generated_text(fields, generated, tokens)
         return json.dumps(fields).encode()
 
-    def _continue(
+    def _add_generated_text(
         self, fields: dict[str, Any], generated: str, tokens: int
     ) -> None:
         if self.is_chat:
@@ -95,18 +95,22 @@
     try:
         fields = msgspec.json.decode(body)
     except msgspec.DecodeError as error:
-        return _bad(f"The body is not JSON ({error})", "Send a JSON object")
+        return _bad_request(
+            f"The body is not JSON ({error})", "Send a JSON object"
+        )
     if not isinstance(fields, dict):
-        return _bad("The body is not a JSON object", "Send a JSON object")
+        return _bad_request(
+            "The body is not a JSON object", "Send a JSON object"
+        )
     target = fields.get("model")
     if not isinstance(target, str):
-        return _bad("model is missing", "Name a model from /v1/models")
-    model = _model_of(target, caller, snapshot.declarations)
+        return _bad_request("model is missing", "Name a model from /v1/models")
+    model = _permitted_model(target, caller, snapshot.declarations)
     if model is None:
         return Failure(refusal.forbidden(f"Model {target}"))
-    prompt = _prompt(path, fields)
+    prompt = _prompt_text(path, fields)
     if prompt is None:
-        return _bad(
+        return _bad_request(
             "messages or prompt is missing or malformed",
             "Send messages for a chat, or prompt as text",
         )
@@ -127,7 +131,7 @@
     )
 
 
-def _bad(title: str, remedy: str) -> Failure:
+def _bad_request(title: str, remedy: str) -> Failure:
     return Failure(refusal.bad_request(title, remedy))
 
 
@@ -136,7 +140,7 @@
     return data.WILDCARD in caller.models or name in caller.models
 
 
-def _model_of(
+def _permitted_model(
     target: str, caller: data.Caller, declarations: data.Declarations
 ) -> data.Model | None:
     adapter = declarations.adapters.get(target)
@@ -149,7 +153,7 @@
     return None
 
 
-def _prompt(path: str, fields: dict[str, Any]) -> str | None:
+def _prompt_text(path: str, fields: dict[str, Any]) -> str | None:
     if path == COMPLETIONS_PATH:
         prompt = fields.get("prompt")
         return prompt if isinstance(prompt, str) else None
--- a/sesamecross/entry/openai_response.py
+++ b/sesamecross/entry/openai_response.py
@@ -45,13 +45,13 @@
     }
     if request.is_chat:
         choice["message"] = {"role": "assistant", "content": "".join(text)}
-        kind = "chat.completion"
+        object_type = "chat.completion"
     else:
         choice["text"] = "".join(text)
-        kind = "text_completion"
+        object_type = "text_completion"
     document = {
         "id": call_id,
-        "object": kind,
+        "object": object_type,
         "created": created,
         "model": request.target,
         "choices": [choice],
--- a/sesamecross/entry/service_call.py
+++ b/sesamecross/entry/service_call.py
@@ -86,30 +86,30 @@
             request.service, request.method, request.path
         )
         if idempotent:
-            return self._with_retries(request)
+            return self._call_with_retries(request)
         if request.idempotency_key:
-            return self._claimed(request)
-        outcome, _ = self._once(request, idempotent=False)
+            return self._call_with_claim(request)
+        outcome, _ = self._attempt(request, idempotent=False)
         return outcome
 
     # -- calls that may be repeated --------------------------------------
 
-    def _with_retries(self, request: ServiceRequest) -> Outcome:
+    def _call_with_retries(self, request: ServiceRequest) -> Outcome:
         excluded: set[str] = set()
         attempt = 0
         while True:
             attempt += 1
-            outcome, failed_at = self._once(
+            outcome, failed_upstream = self._attempt(
                 request, idempotent=True, excluded=frozenset(excluded)
             )
-            if not failed_at:
+            if not failed_upstream:
                 with self._lock:
                     self._budget.succeeded()
                 return outcome
-            excluded.add(failed_at)
+            excluded.add(failed_upstream)
             if not self._may_retry(request, attempt):
                 return outcome
-            self._note_retry(request, attempt, failed_at)
+            self._record_retry(request, attempt, failed_upstream)
             time.sleep(retry.backoff_ms(attempt, self._rng) / 1000)
 
     def _may_retry(self, request: ServiceRequest, attempt: int) -> bool:
@@ -122,7 +122,7 @@
 
     # -- one attempt -----------------------------------------------------
 
-    def _once(
+    def _attempt(
         self,
         request: ServiceRequest,
         idempotent: bool,
@@ -153,12 +153,14 @@
         answer = self._services.call(
             self._service_call(request, upstream), idempotent
         )
-        ok = isinstance(answer, data.Answer)
+        is_answered = isinstance(answer, data.Answer)
         with self._lock:
             self._router.call_ended(
-                upstream.name, ok, self._clock.monotonic_ms()
+                upstream.name, is_answered, self._clock.monotonic_ms()
             )
-        return self._outcome(request, answer), "" if ok else upstream.name
+        return self._outcome(
+            request, answer
+        ), "" if is_answered else upstream.name
 
     def _service_call(
         self, request: ServiceRequest, upstream: data.Upstream
@@ -187,8 +189,8 @@
                 return refusal.upstream_failed(
                     refusal.Executed.NO, "The call was not sent; try again"
                 )
-        late = self._clock.monotonic_ms() >= request.deadline_ms
-        if late:
+        is_past_deadline = self._clock.monotonic_ms() >= request.deadline_ms
+        if is_past_deadline:
             return refusal.deadline_passed(refusal.Executed.UNKNOWN)
         return refusal.upstream_failed(
             refusal.Executed.UNKNOWN,
@@ -197,7 +199,7 @@
 
     # -- calls that run at most once -------------------------------------
 
-    def _claimed(self, request: ServiceRequest) -> Outcome:
+    def _call_with_claim(self, request: ServiceRequest) -> Outcome:
         claim = records.ClaimMade(
             request.call_id,
             request.caller.name,
@@ -210,42 +212,42 @@
         if verdict is None:
             return refusal.claims_unavailable(refusal.Executed.UNKNOWN)
         if verdict.state is data.ClaimState.WON:
-            return self._run_claimed(request, claim)
-        return self._follow(request, claim, verdict)
+            return self._run_claimed_call(request, claim)
+        return self._wait_for_outcome(request, claim, verdict)
 
-    def _run_claimed(
+    def _run_claimed_call(
         self, request: ServiceRequest, claim: records.ClaimMade
     ) -> Outcome:
         """Dispatches a won claim once and writes down what became of it."""
         excluded: set[str] = set()
         while True:
-            outcome, failed_at = self._once(
+            outcome, failed_upstream = self._attempt(
                 request, idempotent=False, excluded=frozenset(excluded)
             )
             not_sent = (
                 isinstance(outcome, refusal.Refusal)
                 and outcome.executed is refusal.Executed.NO
             )
-            if not (not_sent and failed_at):
+            if not (not_sent and failed_upstream):
                 break
             # Nothing left this process, so another upstream may be tried
             # under the same claim.
-            excluded.add(failed_at)
-        self._settle(claim, outcome, executed=not not_sent)
+            excluded.add(failed_upstream)
+        self._settle_claim(claim, outcome, executed=not not_sent)
         return outcome
 
-    def _settle(
+    def _settle_claim(
         self, claim: records.ClaimMade, outcome: Outcome, executed: bool
     ) -> None:
         answer = outcome if isinstance(outcome, data.Answer) else None
-        bound = self._state.snapshot.declarations.claims.answer_bytes
-        if answer is not None and len(answer.body) > bound:
+        max_answer_bytes = self._state.snapshot.declarations.claims.answer_bytes
+        if answer is not None and len(answer.body) > max_answer_bytes:
             answer = None
         self._link.settle(
             records.ClaimSettled(claim.claim_id, executed, answer)
         )
 
-    def _follow(
+    def _wait_for_outcome(
         self,
         request: ServiceRequest,
         claim: records.ClaimMade,
@@ -253,39 +255,39 @@
     ) -> Outcome:
         """Waits for the first arrival's answer, within bounds."""
         now_ms = self._clock.monotonic_ms()
-        until_ms = min(request.deadline_ms, now_ms + IN_PROGRESS_WAIT_MS)
+        wait_until_ms = min(request.deadline_ms, now_ms + IN_PROGRESS_WAIT_MS)
         while verdict.state is data.ClaimState.IN_PROGRESS:
-            if self._clock.monotonic_ms() >= until_ms:
+            if self._clock.monotonic_ms() >= wait_until_ms:
                 return refusal.in_progress()
             time.sleep(IN_PROGRESS_POLL_S)
             verdict = self._link.look_up(claim) or verdict
-        return _answer_of(verdict)
+        return _outcome_of_verdict(verdict)
 
-    def _note_retry(
-        self, request: ServiceRequest, attempt: int, failed_at: str
+    def _record_retry(
+        self, request: ServiceRequest, attempt: int, failed_upstream: str
     ) -> None:
         self._recorder.add(
             timeline.EventKind.RETRY,
             f"attempt {attempt} failed",
             call_id=request.call_id,
             model=request.service.name,
-            upstream=failed_at,
+            upstream=failed_upstream,
         )
 
 
-def _not_claimed() -> refusal.Refusal:
+def _claims_unavailable() -> refusal.Refusal:
     return refusal.claims_unavailable(refusal.Executed.NO)
 
 
 _VERDICT_REFUSALS: dict[data.ClaimState, Callable[[], refusal.Refusal]] = {
-    data.ClaimState.NOT_CLAIMED: _not_claimed,
+    data.ClaimState.NOT_CLAIMED: _claims_unavailable,
     data.ClaimState.IN_PROGRESS: refusal.in_progress,
     data.ClaimState.UNKNOWN: refusal.outcome_unknown,
     data.ClaimState.MISMATCH: refusal.key_reused,
 }
 
 
-def _answer_of(verdict: data.ClaimVerdict) -> Outcome:
+def _outcome_of_verdict(verdict: data.ClaimVerdict) -> Outcome:
     if verdict.state is data.ClaimState.SETTLED:
         return verdict.answer
     return _VERDICT_REFUSALS[verdict.state]()
--- a/sesamecross/entry/sinks.py
+++ b/sesamecross/entry/sinks.py
@@ -17,32 +17,32 @@
 class CallerSink:
     """Writes events to a caller's connection without waiting for it."""
 
-    __slots__ = ("_socket", "_chunked", "_wants_usage", "_pending")
+    __slots__ = ("_socket", "_is_chunked", "_wants_usage", "_buffer")
 
     def __init__(self, sock: socket.socket, chunked: bool, wants_usage: bool):
         # A duplicate with its own blocking mode: the server's object waits
         # up to its timeout even where the descriptor itself would not.
         self._socket = sock.dup()
         self._socket.setblocking(False)
-        self._chunked = chunked
+        self._is_chunked = chunked
         self._wants_usage = wants_usage
-        self._pending = b""
+        self._buffer = b""
 
     def fileno(self) -> int:
         """Returns the descriptor of the caller's connection."""
         return self._socket.fileno()
 
     @property
-    def pending(self) -> bool:
+    def has_pending_bytes(self) -> bool:
         """Whether bytes wait for the caller to read."""
-        return bool(self._pending)
+        return bool(self._buffer)
 
     @property
     def is_full(self) -> bool:
         """Whether the caller is too far behind to take more."""
-        return len(self._pending) >= MAX_PENDING_BYTES
+        return len(self._buffer) >= MAX_PENDING_BYTES
 
-    def accept(self, chunks: list[answer_validator.Chunk]) -> None:
+    def write(self, chunks: list[answer_validator.Chunk]) -> None:
         """Takes events and sends what the caller will take.
 
         Raises:
@@ -51,9 +51,9 @@
         data = openai_response.encode_events(chunks, self._wants_usage)
         if not data:
             return
-        if self._chunked:
+        if self._is_chunked:
             data = b"%x\r\n%b\r\n" % (len(data), data)
-        self._pending += data
+        self._buffer += data
         self.flush()
 
     def flush(self) -> bool:
@@ -62,15 +62,15 @@
         Raises:
           CallerGone: The caller is not there any more.
         """
-        if not self._pending:
+        if not self._buffer:
             return False
         try:
-            sent = self._socket.send(self._pending)
+            sent = self._socket.send(self._buffer)
         except BlockingIOError:
             return False
         except OSError as error:
             raise CallerDisconnectedError(type(error).__name__) from error
-        self._pending = self._pending[sent:]
+        self._buffer = self._buffer[sent:]
         return sent > 0
 
     def check_alive(self) -> None:
@@ -97,13 +97,13 @@
 
     __slots__ = ("chunks",)
 
-    pending = False
+    has_pending_bytes = False
     is_full = False
 
     def __init__(self) -> None:
         self.chunks: list[answer_validator.Chunk] = []
 
-    def accept(self, chunks: list[answer_validator.Chunk]) -> None:
+    def write(self, chunks: list[answer_validator.Chunk]) -> None:
         """Keeps the events."""
         self.chunks.extend(chunks)
 
--- a/sesamecross/entry/state.py
+++ b/sesamecross/entry/state.py
@@ -31,24 +31,24 @@
     __slots__ = (
         "_snapshot",
         "_lock",
-        "_active",
-        "_of_caller",
+        "_active_calls",
+        "_active_calls_by_caller",
         "_demand",
         "_recorder",
         "_logger",
-        "_refusing",
+        "_is_admission_stopped",
         "stopping",
     )
 
     def __init__(self, recorder: timeline.Recorder):
         self._snapshot: Snapshot | None = None
         self._lock = threading.Lock()
-        self._active = 0
-        self._of_caller: dict[str, int] = {}
+        self._active_calls = 0
+        self._active_calls_by_caller: dict[str, int] = {}
         self._demand: dict[str, int] = {}
         self._recorder = recorder
         self._logger = logs.get_logger("entry")
-        self._refusing = False
+        self._is_admission_stopped = False
         self.stopping = False
 
     @property
@@ -59,7 +59,7 @@
     @property
     def active_calls(self) -> int:
         """Calls that are open at this entry."""
-        return self._active
+        return self._active_calls
 
     def apply_view(self, view: data.View) -> bool:
         """Takes in a view; tells whether declarations changed.
@@ -72,19 +72,19 @@
             return False
         changed = view.tree is not None
         if changed:
-            parsed = declarations_lib.parse(view.tree).declarations
-            if parsed is None:
+            declarations = declarations_lib.parse(view.tree).declarations
+            if declarations is None:
                 self._logger.error("view does not parse", version=view.version)
                 return False
-            callers = {c.key_digest: c for c in parsed.callers.values()}
+            callers = {c.key_digest: c for c in declarations.callers.values()}
         elif snapshot is not None:
-            parsed = snapshot.declarations
+            declarations = snapshot.declarations
             callers = snapshot.callers
         else:
             return False
         self._snapshot = Snapshot(
             view.version,
-            parsed,
+            declarations,
             callers,
             frozenset(view.draining),
             view.log_reachable,
@@ -103,29 +103,29 @@
         can rely on that.
         """
         with self._lock:
-            self._refusing = True
+            self._is_admission_stopped = True
 
     def admit_call(self, caller: data.Caller) -> refusal.Refusal | None:
         """Counts a call in, or returns why it is refused."""
         with self._lock:
-            if self._refusing:
+            if self._is_admission_stopped:
                 return refusal.stopping()
-            open_calls = self._of_caller.get(caller.name, 0)
+            open_calls = self._active_calls_by_caller.get(caller.name, 0)
             if open_calls >= caller.concurrency:
                 return refusal.overloaded(1)
-            self._of_caller[caller.name] = open_calls + 1
-            self._active += 1
+            self._active_calls_by_caller[caller.name] = open_calls + 1
+            self._active_calls += 1
             return None
 
     def release_call(self, caller: data.Caller) -> None:
         """Counts a call out."""
         with self._lock:
-            self._active -= 1
-            left = self._of_caller[caller.name] - 1
-            if left:
-                self._of_caller[caller.name] = left
+            self._active_calls -= 1
+            remaining = self._active_calls_by_caller[caller.name] - 1
+            if remaining:
+                self._active_calls_by_caller[caller.name] = remaining
             else:
-                del self._of_caller[caller.name]
+                del self._active_calls_by_caller[caller.name]
 
     def count_demand(self, target: str) -> None:
         """Counts a call towards the demand for a model or adapter."""
--- a/sesamecross/entry/steward_link.py
+++ b/sesamecross/entry/steward_link.py
@@ -42,9 +42,9 @@
         self._logger = logs.get_logger("steward-link")
         self._loop: asyncio.AbstractEventLoop | None = None
         self._stream: streams.Stream | None = None
-        self._replies: dict[str, asyncio.Future] = {}
-        self._outcomes: dict[str, records.ClaimSettled] = {}
-        self._outcome_waits = asyncio.Event()
+        self._pending_replies: dict[str, asyncio.Future] = {}
+        self._unconfirmed_outcomes: dict[str, records.ClaimSettled] = {}
+        self._outcome_ready = asyncio.Event()
 
     @property
     def name(self) -> str:
@@ -52,7 +52,7 @@
         return "steward-link"
 
     @property
-    def connected(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether the steward can be asked now."""
         return self._stream is not None
 
@@ -61,10 +61,10 @@
         self._loop = asyncio.get_running_loop()
         while True:
             try:
-                await self._session()
+                await self._run_session()
             except streams.StreamClosedError as error:
                 self._logger.debug("no stream", reason=str(error))
-            self._drop()
+            self._handle_disconnect()
             await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def stop(self) -> None:
@@ -77,18 +77,18 @@
         await asyncio.sleep(0)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(REPLY_TIMEOUT_S):
-                while self._outcomes:
+                while self._unconfirmed_outcomes:
                     await asyncio.sleep(CONFIRM_POLL_S)
-        if self._outcomes:
+        if self._unconfirmed_outcomes:
             self._logger.warning(
                 "outcomes of claims are not confirmed",
-                claims=len(self._outcomes),
+                claims=len(self._unconfirmed_outcomes),
                 remedy="stop an instance's entry before its steward",
             )
         if self._stream is not None:
             self._stream.close()
 
-    async def _session(self) -> None:
+    async def _run_session(self) -> None:
         stream = await streams.connect(
             self._settings.steward,
             self._settings.shared_key,
@@ -102,33 +102,33 @@
             asyncio.create_task(self._send_demand(stream)),
             asyncio.create_task(self._send_outcomes()),
         ]
-        self._outcome_waits.set()
+        self._outcome_ready.set()
         try:
             while True:
-                await self._on_message(stream, await stream.receive())
+                await self._handle_message(stream, await stream.receive())
         finally:
             for task in tasks:
                 task.cancel()
 
-    def _drop(self) -> None:
+    def _handle_disconnect(self) -> None:
         if self._stream is not None:
             self._logger.warning("steward is gone, serving on the last view")
         self._stream = None
-        for future in self._replies.values():
+        for future in self._pending_replies.values():
             if not future.done():
                 future.set_result(None)
-        self._replies.clear()
+        self._pending_replies.clear()
 
-    async def _on_message(
+    async def _handle_message(
         self, stream: streams.Stream, message: object
     ) -> None:
         match message:
             case messages.ViewUpdate(view=view):
                 await stream.send(messages.ViewTaken(self._on_view(view)))
             case messages.ClaimReply(request_id=request_id):
-                self._reply(request_id, message.verdict)
+                self._resolve_reply(request_id, message.verdict)
             case messages.Done(request_id=request_id, ok=ok):
-                self._reply(request_id, ok)
+                self._resolve_reply(request_id, ok)
             case messages.EventsRequest() as request:
                 events = self._recorder.events(request.limit, request.call_id)
                 plain = tuple(timeline.to_plain(event) for event in events)
@@ -136,38 +136,38 @@
                     messages.EventsReply(request.request_id, plain)
                 )
 
-    def _reply(self, request_id: str, value: object) -> None:
-        future = self._replies.pop(request_id, None)
+    def _resolve_reply(self, request_id: str, value: object) -> None:
+        future = self._pending_replies.pop(request_id, None)
         if future is not None and not future.done():
             future.set_result(value)
             return
-        won = (
+        is_won = (
             isinstance(value, data.ClaimVerdict)
             and value.state is data.ClaimState.WON
         )
-        if won:
+        if is_won:
             # Nobody waits for this claim any more: its call was refused and
             # will not be dispatched.
-            self._keep_outcome(
+            self._enqueue_outcome(
                 records.ClaimSettled(value.claim_id, False, None)
             )
 
-    def _keep_outcome(self, settled: records.ClaimSettled) -> None:
-        self._outcomes[settled.claim_id] = settled
-        self._outcome_waits.set()
+    def _enqueue_outcome(self, settled: records.ClaimSettled) -> None:
+        self._unconfirmed_outcomes[settled.claim_id] = settled
+        self._outcome_ready.set()
 
     async def _send_outcomes(self) -> None:
         """Tells each outcome until the steward has confirmed it."""
         while True:
-            await self._outcome_waits.wait()
-            self._outcome_waits.clear()
-            for settled in list(self._outcomes.values()):
+            await self._outcome_ready.wait()
+            self._outcome_ready.clear()
+            for settled in list(self._unconfirmed_outcomes.values()):
                 message = messages.ClaimOutcome(uuid.uuid4().hex, settled)
-                if await self._ask_on_loop(message):
-                    self._outcomes.pop(settled.claim_id, None)
-            if self._outcomes:
+                if await self._request_on_loop(message):
+                    self._unconfirmed_outcomes.pop(settled.claim_id, None)
+            if self._unconfirmed_outcomes:
                 await asyncio.sleep(RECONNECT_DELAY_S)
-                self._outcome_waits.set()
+                self._outcome_ready.set()
 
     async def _send_demand(self, stream: streams.Stream) -> None:
         while True:
@@ -185,39 +185,39 @@
     def claim(self, claim: records.ClaimMade) -> data.ClaimVerdict | None:
         """Returns the verdict on a claim, or None if none can be had."""
         request_id = uuid.uuid4().hex
-        return self._ask(messages.ClaimRequest(request_id, claim))
+        return self._request(messages.ClaimRequest(request_id, claim))
 
     def look_up(self, claim: records.ClaimMade) -> data.ClaimVerdict | None:
         """Returns what is known now of the claim that holds the name."""
         request_id = uuid.uuid4().hex
-        return self._ask(messages.ClaimLookup(request_id, claim))
+        return self._request(messages.ClaimLookup(request_id, claim))
 
     def settle(self, settled: records.ClaimSettled) -> None:
         """Tells an outcome, now or when the steward is back."""
         if self._loop is not None:
-            self._loop.call_soon_threadsafe(self._keep_outcome, settled)
+            self._loop.call_soon_threadsafe(self._enqueue_outcome, settled)
 
-    def _ask(self, message: object) -> object:
+    def _request(self, message: object) -> object:
         if self._loop is None:
             return None
-        work = asyncio.run_coroutine_threadsafe(
-            self._ask_on_loop(message), self._loop
+        pending = asyncio.run_coroutine_threadsafe(
+            self._request_on_loop(message), self._loop
         )
         try:
-            return work.result(REPLY_TIMEOUT_S + 1)
+            return pending.result(REPLY_TIMEOUT_S + 1)
         except (TimeoutError, concurrent.futures.CancelledError):
             return None
 
-    async def _ask_on_loop(self, message: object) -> object:
+    async def _request_on_loop(self, message: object) -> object:
         stream = self._stream
         if stream is None:
             return None
         future = asyncio.get_running_loop().create_future()
-        self._replies[message.request_id] = future
+        self._pending_replies[message.request_id] = future
         try:
             await stream.send(message)
             return await asyncio.wait_for(future, REPLY_TIMEOUT_S)
         except (streams.StreamClosedError, TimeoutError):
             return None
         finally:
-            self._replies.pop(message.request_id, None)
+            self._pending_replies.pop(message.request_id, None)
--- a/sesamecross/entry/steward_link_test.py
+++ b/sesamecross/entry/steward_link_test.py
@@ -66,7 +66,7 @@
         tree = supervisor.Supervisor([link])
         tree.start()
         async with asyncio.timeout(20):
-            while not link.connected:
+            while not link.is_connected:
                 await asyncio.sleep(0.01)
             link.settle(OUTCOME)
             await tree.stop()
--- a/sesamecross/entry/stream_relay.py
+++ b/sesamecross/entry/stream_relay.py
@@ -37,13 +37,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallerLeft:
+class CallerDisconnected:
     """The caller went away or did not read."""
 
     reason: str
 
 
-TransferResult = Completed | Interrupted | CallerLeft
+TransferResult = Completed | Interrupted | CallerDisconnected
 
 
 class Transfer:
@@ -56,14 +56,14 @@
         "engine_idle_timeout_s",
         "caller_idle_timeout_s",
         "deadline_s",
-        "first_s",
+        "first_token_s",
         "last_token_s",
         "result",
         "done",
         "engine_idle_since_s",
         "caller_idle_since_s",
-        "reading",
-        "writing",
+        "is_reading",
+        "is_writing",
     )
 
     def __init__(
@@ -81,43 +81,43 @@
         self.engine_idle_timeout_s = engine_idle_timeout_s
         self.caller_idle_timeout_s = caller_idle_timeout_s
         self.deadline_s = deadline_s
-        self.first_s: float | None = None
+        self.first_token_s: float | None = None
         self.last_token_s = 0.0
         self.result: TransferResult | None = None
         self.done = threading.Event()
         self.engine_idle_since_s = self.caller_idle_since_s = time.monotonic()
-        self.reading = False
-        self.writing = False
+        self.is_reading = False
+        self.is_writing = False
 
     def read_engine(self, now_s: float) -> None:
         """Moves what the engine has sent; may set `ending`."""
         self.engine_idle_since_s = now_s
         try:
             events = self.stream.read(None)
-            before = self.validator.tokens
+            tokens_before = self.validator.tokens
             chunks = []
             for event in events:
                 chunk = self.validator.process_event(event)
                 if chunk is not None:
                     chunks.append(chunk)
-            if self.validator.tokens > before:
-                self.first_s = self.first_s or now_s
+            if self.validator.tokens > tokens_before:
+                self.first_token_s = self.first_token_s or now_s
                 self.last_token_s = now_s
             if chunks:
-                self.sink.accept(chunks)
+                self.sink.write(chunks)
         except (
             engine_stream.StreamBroken,
             answer_validator.InvalidEventError,
         ) as error:
             self.result = Interrupted(str(error))
         except sinks.CallerDisconnectedError as error:
-            self.result = CallerLeft(str(error))
+            self.result = CallerDisconnected(str(error))
         else:
-            self._look_for_end()
+            self._check_completion()
 
-    def _look_for_end(self) -> None:
+    def _check_completion(self) -> None:
         if self.validator.done:
-            if not self.sink.pending:
+            if not self.sink.has_pending_bytes:
                 self.result = Completed()
         elif self.stream.ended:
             self.result = Interrupted("the answer ended early")
@@ -128,9 +128,9 @@
             if self.sink.flush():
                 self.caller_idle_since_s = now_s
         except sinks.CallerDisconnectedError as error:
-            self.result = CallerLeft(str(error))
+            self.result = CallerDisconnected(str(error))
         else:
-            if self.validator.done and not self.sink.pending:
+            if self.validator.done and not self.sink.has_pending_bytes:
                 self.result = Completed()
 
     def check_caller(self) -> None:
@@ -138,13 +138,13 @@
         try:
             self.sink.check_alive()
         except sinks.CallerDisconnectedError as error:
-            self.result = CallerLeft(str(error))
+            self.result = CallerDisconnected(str(error))
 
-    def sweep(self, now_s: float) -> None:
+    def check_timeouts(self, now_s: float) -> None:
         """Looks at the time that passed; may set `ending`."""
-        if self.sink.pending:
+        if self.sink.has_pending_bytes:
             if now_s - self.caller_idle_since_s > self.caller_idle_timeout_s:
-                self.result = CallerLeft("does not read")
+                self.result = CallerDisconnected("does not read")
         else:
             self.caller_idle_since_s = now_s
         if self.validator.done or self.sink.is_full:
@@ -159,71 +159,80 @@
 class StreamRelay:
     """The thread and its selector."""
 
-    __slots__ = ("_selector", "_lock", "_new", "_wake", "_woken", "_active")
+    __slots__ = (
+        "_selector",
+        "_lock",
+        "_new_transfers",
+        "_wakeup_sender",
+        "_wakeup_receiver",
+        "_active_transfers",
+    )
 
     def __init__(self) -> None:
         self._selector = selectors.DefaultSelector()
         self._lock = threading.Lock()
-        self._new: list[Transfer] = []
-        self._wake, self._woken = socket.socketpair()
-        self._wake.setblocking(False)
-        self._woken.setblocking(False)
-        self._active: set[Transfer] = set()
+        self._new_transfers: list[Transfer] = []
+        self._wakeup_sender, self._wakeup_receiver = socket.socketpair()
+        self._wakeup_sender.setblocking(False)
+        self._wakeup_receiver.setblocking(False)
+        self._active_transfers: set[Transfer] = set()
 
     def start(self) -> None:
         """Starts the thread; it lives as long as the process."""
-        self._selector.register(self._woken, selectors.EVENT_READ, None)
+        self._selector.register(
+            self._wakeup_receiver, selectors.EVENT_READ, None
+        )
         threading.Thread(target=self._run, name="pump", daemon=True).start()
 
     def run_transfer(self, transfer: Transfer) -> TransferResult:
         """Moves one attempt to its end; the calling thread waits."""
         with self._lock:
-            self._new.append(transfer)
+            self._new_transfers.append(transfer)
         # When the pipe is full the thread has been woken often enough.
         with contextlib.suppress(BlockingIOError):
-            self._wake.send(b"x")
+            self._wakeup_sender.send(b"x")
         transfer.done.wait()
         return transfer.result
 
     def _run(self) -> None:
-        log = logs.get_logger("pump")
-        swept_s = 0.0
+        logger = logs.get_logger("pump")
+        last_sweep_s = 0.0
         while True:
             ready = self._selector.select(SWEEP_INTERVAL_S)
             now_s = time.monotonic()
             for key, mask in ready:
                 if key.data is None:
-                    self._take_new()
+                    self._accept_new_transfers()
                     continue
                 transfer, is_engine = key.data
                 if transfer.result is not None:
                     continue
                 try:
-                    self._serve(transfer, is_engine, mask, now_s)
+                    self._handle_event(transfer, is_engine, mask, now_s)
                 except Exception as error:
                     # A fault in one transfer must not stop all others.
-                    log.exception("transfer failed")
+                    logger.exception("transfer failed")
                     transfer.result = Interrupted(repr(error))
-                self._settle(transfer)
-            if now_s - swept_s > SWEEP_INTERVAL_S:
-                swept_s = now_s
-                self._sweep(now_s)
+                self._update_or_end(transfer)
+            if now_s - last_sweep_s > SWEEP_INTERVAL_S:
+                last_sweep_s = now_s
+                self._check_all_timeouts(now_s)
 
-    def _take_new(self) -> None:
+    def _accept_new_transfers(self) -> None:
         try:
-            self._woken.recv(4096)
+            self._wakeup_receiver.recv(4096)
         except BlockingIOError:
             return
         with self._lock:
-            new, self._new = self._new, []
+            new, self._new_transfers = self._new_transfers, []
         now_s = time.monotonic()
         for transfer in new:
-            self._active.add(transfer)
+            self._active_transfers.add(transfer)
             # Events may have come with the head of the answer already.
             transfer.read_engine(now_s)
-            self._settle(transfer)
+            self._update_or_end(transfer)
 
-    def _serve(
+    def _handle_event(
         self, transfer: Transfer, is_engine: bool, mask: int, now_s: float
     ) -> None:
         if is_engine:
@@ -234,42 +243,42 @@
         if mask & selectors.EVENT_READ and transfer.result is None:
             transfer.check_caller()
 
-    def _settle(self, transfer: Transfer) -> None:
+    def _update_or_end(self, transfer: Transfer) -> None:
         """Registers what the transfer waits for now, or ends it."""
         if transfer.result is not None:
-            self._end(transfer)
+            self._end_transfer(transfer)
             return
         wants_read = not (transfer.validator.done or transfer.sink.is_full)
-        if wants_read != transfer.reading:
-            transfer.reading = wants_read
+        if wants_read != transfer.is_reading:
+            transfer.is_reading = wants_read
             if wants_read:
                 self._selector.register(
                     transfer.stream, selectors.EVENT_READ, (transfer, True)
                 )
             else:
                 self._selector.unregister(transfer.stream)
-        wants_write = transfer.sink.pending
-        if wants_write != transfer.writing:
-            transfer.writing = wants_write
+        wants_write = transfer.sink.has_pending_bytes
+        if wants_write != transfer.is_writing:
+            transfer.is_writing = wants_write
             if wants_write:
                 mask = selectors.EVENT_WRITE
                 self._selector.register(transfer.sink, mask, (transfer, False))
             else:
                 self._selector.unregister(transfer.sink)
 
-    def _end(self, transfer: Transfer) -> None:
-        if transfer.reading:
+    def _end_transfer(self, transfer: Transfer) -> None:
+        if transfer.is_reading:
             self._selector.unregister(transfer.stream)
-        if transfer.writing:
+        if transfer.is_writing:
             self._selector.unregister(transfer.sink)
-        self._active.discard(transfer)
+        self._active_transfers.discard(transfer)
         transfer.done.set()
 
-    def _sweep(self, now_s: float) -> None:
-        for transfer in list(self._active):
+    def _check_all_timeouts(self, now_s: float) -> None:
+        for transfer in list(self._active_transfers):
             if isinstance(transfer.sink, sinks.CallerSink):
                 transfer.check_caller()
             if transfer.result is None:
-                transfer.sweep(now_s)
+                transfer.check_timeouts(now_s)
             if transfer.result is not None:
-                self._settle(transfer)
+                self._update_or_end(transfer)
