--- a/sesamecross/entry/__init__.py
+++ b/sesamecross/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The process that relays calls between callers and upstreams."""
+"""The entry process, which relays calls from callers to upstreams."""
--- a/sesamecross/entry/model_call.py
+++ b/sesamecross/entry/model_call.py
@@ -1,8 +1,9 @@
-"""Relays one call to a model: attempts, resume, and what the caller sees.
+"""Relays one call to a model, with retries and resumption.
 
-Why: an upstream that dies in the middle of an answer must not show. Tokens
-are counted as they are passed on; the next attempt goes on behind them, and
-the caller gets each token once and in order, or a truthful end.
+The caller must not notice an upstream that fails in the middle of a response.
+Relayed tokens are counted and the next attempt resumes after them, so the
+caller gets each token once and in order, or an error that says whether the
+call may have run.
 """
 
 import time
@@ -21,13 +22,17 @@
 from sesamecross.ports import engine_stream
 from sesamecross.ports import http_client
 
-# An engine that is silent for this long in the middle of an answer is given
-# up, and the call goes on elsewhere.
+# An attempt whose engine sends nothing for this long is abandoned, and the
+# call is retried elsewhere.
 ENGINE_IDLE_TIMEOUT_S = 10.0
 
 
 class CallRefusedError(Exception):
-    """The call gets a refusal as its final answer."""
+    """The call ends with a refusal.
+
+    Attributes:
+      problem: The refusal for the caller.
+    """
 
     def __init__(self, problem: refusal.Refusal):
         super().__init__(problem.title)
@@ -35,7 +40,11 @@
 
 
 class EngineRejectedError(Exception):
-    """The engine's own error is the call's final answer."""
+    """The call ends with an error response of the engine.
+
+    Attributes:
+      rejected: The engine's response.
+    """
 
     def __init__(self, rejected: engine_stream.Rejected):
         super().__init__(f"HTTP {rejected.status}")
@@ -43,14 +52,14 @@
 
 
 class CallAbandonedError(Exception):
-    """Nobody waits for the answer any more."""
+    """The caller disconnected or does not read the response."""
 
 
 class ModelCall:
     """One call, from submission to its end. Used by one thread.
 
-    `first` gives the first events, `rest` moves all that follow into a sink;
-    `close` must be called in the end, whatever happened.
+    `read_first_chunks` returns the first events, `relay_rest` writes all
+    further events to a sink. `close` must be called in every case.
     """
 
     def __init__(
@@ -81,20 +90,20 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens passed on so far."""
+        """Number of tokens relayed so far."""
         return self._validator.tokens
 
     @property
     def first_token_s(self) -> float | None:
-        """Monotonic seconds at the first token, if there was one."""
+        """Monotonic time of the first token in seconds; None before it."""
         return self._first_token_s
 
     def read_first_chunks(self) -> list[answer_validator.Chunk]:
-        """Returns the first events of the answer.
+        """Returns the first events of the response.
 
         Raises:
-          Refused: No answer can be had.
-          EngineError: The engine refuses the call as such.
+          CallRefusedError: The call was refused or all attempts failed.
+          EngineRejectedError: The engine rejected the call itself.
         """
         self._dispatcher.submit(self._call)
         while True:
@@ -105,11 +114,12 @@
                 return chunks
 
     def relay_rest(self, sink: sinks.Sink) -> None:
-        """Moves all further events into `sink`.
+        """Writes all further events to `sink`.
 
         Raises:
-          Refused: The answer can't be brought to its end.
-          CallAbandonedError: The caller went away; the engine has been told.
+          CallRefusedError: The response can't be completed.
+          CallAbandonedError: The caller disconnected; `close` cancels the
+            call at the engine.
         """
         while True:
             if self._stream is None:
@@ -137,7 +147,7 @@
                     self._report_failure(dispatch.MayHaveRun(), reason)
 
     def close(self) -> None:
-        """Gives back whatever the call still holds."""
+        """Cancels the call at the engine, unless the call has ended."""
         if self._is_ended:
             return
         self._is_ended = True
@@ -157,7 +167,7 @@
     # -- attempts --------------------------------------------------------
 
     def _next_stream(self) -> engine_stream.EngineStream:
-        """Waits for a dispatch and opens it, through failures."""
+        """Waits for dispatches until the stream of one can be opened."""
         while True:
             action = self._dispatcher.next_action(self._call.call_id)
             if isinstance(action, dispatch.Refuse):
@@ -218,7 +228,7 @@
     def _read_first_chunks(
         self, stream: engine_stream.EngineStream
     ) -> list[answer_validator.Chunk]:
-        """Waits for the attempt's first events; none if it failed."""
+        """Waits for the attempt's first events; empty if it failed."""
         try:
             while not stream.ended:
                 left_s = self._call.deadline_ms / 1000 - time.monotonic()
@@ -252,8 +262,8 @@
         elif rejected.not_run == "not-resident":
             self._report_failure(dispatch.NotRun(absent=True), "not resident")
         elif rejected.status == 400 and self.tokens:
-            # This engine can't resume: the next attempt repeats the prompt
-            # with the text that the caller has.
+            # The engine can't resume by event id: the next attempt appends
+            # the text that the caller already has to the prompt.
             self._validator.ignores_event_ids = True
             self._report_failure(dispatch.MayHaveRun(), "can't resume")
         elif rejected.status == 429 or rejected.status >= 500:
@@ -274,7 +284,7 @@
         )
         self._dispatcher.failed(self._call.call_id, failure)
 
-    # -- ends ------------------------------------------------------------
+    # -- end of the call and events --------------------------------------
 
     def _complete(self) -> None:
         self._end_call(
--- a/sesamecross/entry/model_dispatcher.py
+++ b/sesamecross/entry/model_dispatcher.py
@@ -1,8 +1,8 @@
-"""Lets threads use the dispatcher, one call each.
+"""Makes the dispatcher usable from threads, one call per thread.
 
-Why: the dispatcher is a plain state machine; threads that serve calls need a
-lock around it and a mailbox each, in which the action for their call arrives
-when some other call makes room.
+The dispatcher is a state machine without threads. Here a lock guards it, and
+each call has a mailbox for its actions: the action for a queued call results
+from the end of another call, which another thread handles.
 """
 
 import queue
@@ -19,7 +19,7 @@
 
 
 class ModelDispatcher:
-    """Owns the dispatcher, its lock and the mailboxes."""
+    """Thread-safe wrapper of the dispatcher. Owns its lock and mailboxes."""
 
     __slots__ = ("_dispatcher", "_clock", "_lock", "_mailboxes", "_stopped")
 
@@ -37,11 +37,11 @@
         self._stopped = threading.Event()
 
     def start(self) -> None:
-        """Starts the thread that lets time pass."""
+        """Starts the thread that ticks the dispatcher."""
         threading.Thread(target=self._tick, daemon=True).start()
 
     def shut_down(self) -> None:
-        """Ends that thread."""
+        """Stops that thread."""
         self._stopped.set()
 
     def _tick(self) -> None:
@@ -63,7 +63,7 @@
         draining: frozenset[str],
         entries: int,
     ) -> None:
-        """Takes in accepted declarations and drain marks."""
+        """Applies accepted declarations and drain marks."""
         with self._lock:
             self._dispatcher.configure(declarations, entries)
             self._apply_draining(draining)
@@ -75,7 +75,7 @@
     def update_reports(
         self, reports: tuple[data.UpstreamReport, ...], draining: frozenset[str]
     ) -> None:
-        """Takes in a view's reports."""
+        """Applies the upstream reports and drain marks of a view."""
         with self._lock:
             now_ms = self._clock.monotonic_ms()
             for report in reports:
@@ -84,19 +84,19 @@
             self._deliver(self._dispatcher.tick(now_ms))
 
     def submit(self, call: routing.Call) -> None:
-        """Takes a new call; `next_action` tells what becomes of it."""
+        """Submits a new call; `next_action` returns its actions."""
         with self._lock:
             self._mailboxes[call.call_id] = queue.SimpleQueue()
             self._deliver(self._dispatcher.submit(call, self._now_ms()))
 
     def next_action(self, call_id: str) -> dispatch.Action:
-        """Waits for the call's next action."""
+        """Blocks until the call's next action and returns it."""
         return self._mailboxes[call_id].get()
 
     def finished(
         self, call_id: str, observation: estimates.Observation, complete: bool
     ) -> None:
-        """The call ended."""
+        """Handles the end of a call."""
         with self._lock:
             self._mailboxes.pop(call_id, None)
             self._deliver(
@@ -106,25 +106,25 @@
             )
 
     def first_token(self, call_id: str) -> None:
-        """The call's first token has come."""
+        """Handles the arrival of a call's first token."""
         with self._lock:
             self._dispatcher.first_token(call_id)
 
     def failed(self, call_id: str, failure: dispatch.FailureKind) -> None:
-        """An attempt failed; `next_action` tells what follows."""
+        """Handles a failed attempt; `next_action` returns what follows."""
         with self._lock:
             self._deliver(
                 self._dispatcher.failed(call_id, failure, self._now_ms())
             )
 
     def abandoned(self, call_id: str) -> None:
-        """Nobody waits for the call any more."""
+        """Handles a call whose caller disconnected."""
         with self._lock:
             self._mailboxes.pop(call_id, None)
             self._deliver(self._dispatcher.abandoned(call_id, self._now_ms()))
 
     def discard_mailbox(self, call_id: str) -> None:
-        """The call was refused; its mailbox is not needed any more."""
+        """Discards the mailbox of a refused call."""
         with self._lock:
             self._mailboxes.pop(call_id, None)
 
--- a/sesamecross/entry/openai_response.py
+++ b/sesamecross/entry/openai_response.py
@@ -1,4 +1,4 @@
-"""Shapes a relayed answer as OpenAI-style clients expect it."""
+"""Encodes responses in the format of OpenAI's API."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -15,7 +15,10 @@
 def encode_events(
     chunks: Iterable[answer_validator.Chunk], wants_usage: bool
 ) -> bytes:
-    """Returns events as a streaming caller should get them."""
+    """Returns chunks as server-sent events.
+
+    The closing usage event is left out unless the caller asked for it.
+    """
     return b"".join(
         b"data: " + chunk.data + b"\n\n"
         for chunk in chunks
@@ -28,7 +31,7 @@
     request: model_request.ModelRequest,
     chunks: Iterable[answer_validator.Chunk],
 ) -> bytes:
-    """Returns the one document of a call that is not streamed."""
+    """Returns the JSON document of a call that is not streamed."""
     text: list[str] = []
     finish_reason = "stop"
     usage = None
@@ -61,7 +64,7 @@
 
 
 def model_list(names: list[str]) -> dict[str, Any]:
-    """Returns the document of `/v1/models`."""
+    """Returns the response document of `/v1/models`."""
     models = [
         {
             "id": name,
--- a/sesamecross/entry/sinks.py
+++ b/sesamecross/entry/sinks.py
@@ -1,27 +1,27 @@
-"""Where an answer's events go: to the caller's socket or into a document."""
+"""Destinations of a response: the caller's socket or one whole document."""
 
 import socket
 
 from sesamecross.entry import openai_response
 from sesamecross.ops import answer_validator
 
-# A caller that is this far behind makes the relay stop reading its engine;
-# others are not touched.
+# At this many unsent bytes the relay stops reading the engine of this call;
+# other calls are not affected.
 MAX_PENDING_BYTES = 64 * 1024
 
 
 class CallerDisconnectedError(Exception):
-    """The caller closed its connection or does not read."""
+    """The caller closed its connection, or the connection failed."""
 
 
 class CallerSink:
-    """Writes events to a caller's connection without waiting for it."""
+    """Writes events to a caller's connection without blocking."""
 
     __slots__ = ("_socket", "_is_chunked", "_wants_usage", "_buffer")
 
     def __init__(self, sock: socket.socket, chunked: bool, wants_usage: bool):
-        # A duplicate with its own blocking mode: the server's object waits
-        # up to its timeout even where the descriptor itself would not.
+        # A duplicate, because the server's socket object waits up to its
+        # timeout even if the descriptor is non-blocking.
         self._socket = sock.dup()
         self._socket.setblocking(False)
         self._is_chunked = chunked
@@ -29,24 +29,24 @@
         self._buffer = b""
 
     def fileno(self) -> int:
-        """Returns the descriptor of the caller's connection."""
+        """Returns the file descriptor, for a selector."""
         return self._socket.fileno()
 
     @property
     def has_pending_bytes(self) -> bool:
-        """Whether bytes wait for the caller to read."""
+        """Whether bytes are buffered that the caller has not taken."""
         return bool(self._buffer)
 
     @property
     def is_full(self) -> bool:
-        """Whether the caller is too far behind to take more."""
+        """Whether the buffer has reached its limit."""
         return len(self._buffer) >= MAX_PENDING_BYTES
 
     def write(self, chunks: list[answer_validator.Chunk]) -> None:
-        """Takes events and sends what the caller will take.
+        """Buffers events and sends as much as the socket accepts.
 
         Raises:
-          CallerGone: The caller is not there any more.
+          CallerDisconnectedError: The connection is closed or failed.
         """
         data = openai_response.encode_events(chunks, self._wants_usage)
         if not data:
@@ -57,10 +57,10 @@
         self.flush()
 
     def flush(self) -> bool:
-        """Sends what the caller will take; tells whether anything went.
+        """Sends as much as the socket accepts; returns whether bytes were sent.
 
         Raises:
-          CallerGone: The caller is not there any more.
+          CallerDisconnectedError: The connection is closed or failed.
         """
         if not self._buffer:
             return False
@@ -74,26 +74,26 @@
         return sent > 0
 
     def check_alive(self) -> None:
-        """Looks whether the caller hung up.
+        """Checks that the caller has not closed its connection.
 
         Raises:
-          CallerGone: It did.
+          CallerDisconnectedError: It has, or the connection failed.
         """
         try:
             if self._socket.recv(1, socket.MSG_PEEK) == b"":
-                raise CallerDisconnectedError("hung up")
+                raise CallerDisconnectedError("connection closed")
         except BlockingIOError:
             return
         except OSError as error:
             raise CallerDisconnectedError(type(error).__name__) from error
 
     def close(self) -> None:
-        """Lets go of the duplicate; the connection itself stays open."""
+        """Closes the duplicate; the connection itself stays open."""
         self._socket.close()
 
 
 class DocumentSink:
-    """Collects events for a caller that wants one whole document."""
+    """Collects events for a response that is not streamed."""
 
     __slots__ = ("chunks",)
 
@@ -104,7 +104,7 @@
         self.chunks: list[answer_validator.Chunk] = []
 
     def write(self, chunks: list[answer_validator.Chunk]) -> None:
-        """Keeps the events."""
+        """Appends the events."""
         self.chunks.extend(chunks)
 
 
--- a/sesamecross/entry/stream_relay.py
+++ b/sesamecross/entry/stream_relay.py
@@ -1,12 +1,12 @@
-"""Moves tokens from engines to callers, for all calls, in one thread.
+"""Relays tokens from engines to callers, for all calls, in one thread.
 
-Why: with a thread for each stream, every token wakes a thread that has to
-fight the others for the interpreter lock; measured at 100 streams that costs
-260 to 580 microseconds a token (docs/design/0004-relay.md). Here a call's own
-thread waits once, until its attempt has ended.
+With a thread per stream, every token wakes a thread that contends for the
+interpreter lock; at 100 streams this cost 260 to 580 microseconds per token
+(docs/design/0004-relay.md). Here the thread of a call waits once, until its
+attempt has ended.
 
-A slow caller holds a bounded number of bytes and stops the reading of its own
-engine only.
+The bytes buffered for a slow caller are bounded, and only the engine stream of
+its own call is no longer read.
 """
 
 import contextlib
@@ -26,19 +26,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Completed:
-    """The answer came to its proper end."""
+    """The whole response was relayed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Interrupted:
-    """The engine failed before the answer's end."""
+    """The engine failed, or the deadline passed, before the response ended."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerDisconnected:
-    """The caller went away or did not read."""
+    """The caller disconnected or did not read."""
 
     reason: str
 
@@ -47,7 +47,19 @@
 
 
 class Transfer:
-    """One attempt that is being moved."""
+    """The relay of one attempt's response.
+
+    Attributes:
+      engine_idle_timeout_s: Longest wait for bytes from the engine.
+      caller_idle_timeout_s: Longest wait for the caller to take bytes.
+      deadline_s: The call's deadline, on the monotonic clock.
+      result: How the relay ended; None before that.
+      done: Set when the transfer has ended and left the selector.
+      engine_idle_since_s: When the wait for the engine began.
+      caller_idle_since_s: When the wait for the caller began.
+      is_reading: Whether the engine's stream is registered for reading.
+      is_writing: Whether the sink is registered for writing.
+    """
 
     __slots__ = (
         "stream",
@@ -90,7 +102,7 @@
         self.is_writing = False
 
     def read_engine(self, now_s: float) -> None:
-        """Moves what the engine has sent; may set `ending`."""
+        """Relays what the engine has sent; may set `result`."""
         self.engine_idle_since_s = now_s
         try:
             events = self.stream.read(None)
@@ -123,7 +135,7 @@
             self.result = Interrupted("the answer ended early")
 
     def write_caller(self, now_s: float) -> None:
-        """Sends what waits for the caller; may set `ending`."""
+        """Sends buffered bytes to the caller; may set `result`."""
         try:
             if self.sink.flush():
                 self.caller_idle_since_s = now_s
@@ -134,21 +146,21 @@
                 self.result = Completed()
 
     def check_caller(self) -> None:
-        """Looks whether the caller hung up; may set `ending`."""
+        """Checks that the caller is still connected; may set `result`."""
         try:
             self.sink.check_alive()
         except sinks.CallerDisconnectedError as error:
             self.result = CallerDisconnected(str(error))
 
     def check_timeouts(self, now_s: float) -> None:
-        """Looks at the time that passed; may set `ending`."""
+        """Checks the idle timeouts and the deadline; may set `result`."""
         if self.sink.has_pending_bytes:
             if now_s - self.caller_idle_since_s > self.caller_idle_timeout_s:
                 self.result = CallerDisconnected("does not read")
         else:
             self.caller_idle_since_s = now_s
         if self.validator.done or self.sink.is_full:
-            # It is the caller who is waited for, not the engine.
+            # The relay waits for the caller, not for the engine.
             self.engine_idle_since_s = now_s
         elif now_s - self.engine_idle_since_s > self.engine_idle_timeout_s:
             self.result = Interrupted("the engine is silent")
@@ -157,7 +169,7 @@
 
 
 class StreamRelay:
-    """The thread and its selector."""
+    """The relay's thread and its selector."""
 
     __slots__ = (
         "_selector",
@@ -178,17 +190,17 @@
         self._active_transfers: set[Transfer] = set()
 
     def start(self) -> None:
-        """Starts the thread; it lives as long as the process."""
+        """Starts the thread, which runs until the process exits."""
         self._selector.register(
             self._wakeup_receiver, selectors.EVENT_READ, None
         )
         threading.Thread(target=self._run, name="pump", daemon=True).start()
 
     def run_transfer(self, transfer: Transfer) -> TransferResult:
-        """Moves one attempt to its end; the calling thread waits."""
+        """Relays one attempt; blocks until it has ended."""
         with self._lock:
             self._new_transfers.append(transfer)
-        # When the pipe is full the thread has been woken often enough.
+        # If the socket buffer is full, a wakeup is already pending.
         with contextlib.suppress(BlockingIOError):
             self._wakeup_sender.send(b"x")
         transfer.done.wait()
@@ -210,8 +222,8 @@
                 try:
                     self._handle_event(transfer, is_engine, mask, now_s)
                 except Exception as error:
-                    # A fault in one transfer must not stop all others.
-                    logger.exception("transfer failed")
+                    # An error in one transfer must not stop the others.
+                    logger.exception("unexpected error in a transfer")
                     transfer.result = Interrupted(repr(error))
                 self._update_or_end(transfer)
             if now_s - last_sweep_s > SWEEP_INTERVAL_S:
@@ -228,7 +240,7 @@
         now_s = time.monotonic()
         for transfer in new:
             self._active_transfers.add(transfer)
-            # Events may have come with the head of the answer already.
+            # Events may have arrived together with the response headers.
             transfer.read_engine(now_s)
             self._update_or_end(transfer)
 
@@ -244,7 +256,7 @@
             transfer.check_caller()
 
     def _update_or_end(self, transfer: Transfer) -> None:
-        """Registers what the transfer waits for now, or ends it."""
+        """Updates the selector's registrations, or ends the transfer."""
         if transfer.result is not None:
             self._end_transfer(transfer)
             return
