--- a/sesamecross/entry/http_app.py
+++ b/sesamecross/entry/http_app.py
@@ -1,4 +1,4 @@
-"""The entry's HTTP face: who calls, what is asked, and the answer's form."""
+"""The entry's HTTP interface: authentication, routing and responses."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -55,7 +55,7 @@
 
 
 class _Request:
-    """One caller's request, as far as its head tells."""
+    """The request line and headers of a caller's request."""
 
     __slots__ = ("environ", "call_id", "path", "method", "started_s")
 
@@ -101,13 +101,13 @@
         self._logger = logs.get_logger("http")
 
     def __call__(self, environ: dict, start_response: Any) -> Iterable[bytes]:
-        """Answers one request."""
+        """Handles one request."""
         request = _Request(environ)
         if request.path in ("/healthz", "/readyz", "/metrics"):
             return self._handle_operations(request, start_response)
         snapshot = self._state.snapshot
         if snapshot is None:
-            # Nothing is known yet, so nothing can be promised or checked.
+            # Before the first view there are no callers or limits to check.
             problem = self._refusal_before_claim(
                 request, refusal.no_upstream("any call")
             )
@@ -125,10 +125,10 @@
     def _refusal_before_claim(
         self, request: _Request, problem: refusal.Refusal
     ) -> refusal.Refusal:
-        """Returns a refusal that is true for a call with a key too.
+        """Returns the refusal of a call before its claim is looked up.
 
-        This arrival was not run, but an earlier one under the same key may
-        have been, and nobody has been asked.
+        With an idempotency key, `executed` is unknown: this request was not
+        run, but an earlier one with the same key may have been.
         """
         if request.header("HTTP_IDEMPOTENCY_KEY"):
             unknown = refusal.Executed.UNKNOWN
@@ -142,7 +142,7 @@
         snapshot: state_lib.Snapshot,
         start_response: Any,
     ) -> Iterator[bytes]:
-        """Answers a call that is counted as open until its last byte."""
+        """Handles an admitted call, which is open until its last byte."""
         try:
             yield from self._route(request, caller, snapshot, start_response)
         except http_server.SlowBody as error:
@@ -182,7 +182,7 @@
         )
         return self._send_refusal(request, problem, start_response)
 
-    # -- for the platform --------------------------------------------------
+    # -- health and metrics ------------------------------------------------
 
     def _handle_operations(
         self, request: _Request, start_response: Any
@@ -327,7 +327,7 @@
         requested_priority = request.int_header("HTTP_X_PRIORITY")
         priority = promise.priority
         if requested_priority is not None:
-            # A caller may step back behind its class, never before it.
+            # A caller may lower its priority, never raise it.
             priority = min(_MAX_PRIORITY, max(priority, requested_priority))
         return routing.Call(
             request.call_id,
@@ -349,8 +349,8 @@
         start_response: Any,
     ) -> Iterator[bytes]:
         try:
-            # The head of the answer is sent with the first events, so that
-            # a refusal before them still has its own status.
+            # The status is sent with the first events, so that a refusal
+            # before them still has its own status.
             first_chunks = active_call.read_first_chunks()
             if parsed_request.stream:
                 yield from self._stream_response(
@@ -405,7 +405,7 @@
         yield openai_response.encode_events(
             first_chunks, parsed_request.wants_usage
         )
-        # How the answer is framed is known only now that its head is sent.
+        # The framing is only known once the headers are sent.
         sink = sinks.CallerSink(
             connection.socket, connection.is_chunked, parsed_request.wants_usage
         )
@@ -416,8 +416,9 @@
             # Nothing more can be sent on this connection.
             connection.abort()
         except model_call.CallRefusedError as error:
-            # The head is gone, so the refusal comes as an event, without
-            # the closing mark: no client takes the answer for whole.
+            # The status is already sent, so the refusal is sent as an event.
+            # Without the final `[DONE]` no client takes the response for
+            # complete.
             body = error.problem.body(request.call_id)
             yield b"event: error\ndata: " + body + b"\n\n"
         finally:
--- a/sesamecross/entry/model_request.py
+++ b/sesamecross/entry/model_request.py
@@ -1,7 +1,7 @@
-"""Checks a caller's request to a model and prepares what engines get.
+"""Validates a caller's request to a model and encodes the engine's request.
 
-Why: an engine must not see a malformed call, and a prompt's blocks and size
-are needed for routing before anything is sent.
+Malformed calls must not reach an engine, and routing needs the block hashes and
+the size of the prompt before anything is sent.
 """
 
 import dataclasses
@@ -24,9 +24,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelRequest:
-    """A checked request.
+    """A validated request.
 
     Attributes:
+      target: The model or adapter that the caller named.
+      model: The model, or the adapter's base model.
       fields: The request's JSON object as the caller sent it.
       stream: Whether the caller wants server-sent events.
       wants_usage: Whether the caller wants the closing usage event.
@@ -42,27 +44,27 @@
 
     @property
     def is_chat(self) -> bool:
-        """Whether this is a chat and not a plain completion."""
+        """Whether this is a chat completion, not a text completion."""
         return self.path == CHAT_PATH
 
     def prompt_block_hashes(self) -> tuple[int, ...]:
-        """Returns the names of the prompt's leading blocks."""
+        """Returns the hashes of the prompt's leading blocks."""
         return prefixes.block_hashes(self.target, self.prompt)
 
     def estimate_prompt_tokens(self) -> int:
-        """Returns a guess of the prompt's tokens."""
+        """Returns an estimate of the prompt's length in tokens."""
         return len(self.prompt) // prefixes.CHARS_PER_TOKEN + 1
 
     def engine_body(self, generated: str, tokens: int) -> bytes:
-        """Returns the body for an engine.
+        """Returns the body of the request to an engine.
 
-        Engines are always asked to stream, so that a failed one can be
-        replaced in the middle of an answer.
+        Engines are always asked to stream, so that another one can continue
+        the response of a failed one.
 
         Args:
-          generated: Text that the caller has already and that the engine is
-            to continue; empty for a fresh call or an engine that resumes.
-          tokens: Tokens in `generated`.
+          generated: Text that the caller already has and the engine is to
+            continue; empty for a new call or an engine that can resume.
+          tokens: Number of tokens in `generated`.
         """
         fields = dict(self.fields)
         fields["stream"] = True
@@ -91,7 +93,7 @@
 def parse(
     path: str, body: bytes, caller: data.Caller, snapshot: state_lib.Snapshot
 ) -> Result[ModelRequest, refusal.Refusal]:
-    """Returns the checked request, or why it is refused."""
+    """Returns the validated request, or a refusal."""
     try:
         fields = msgspec.json.decode(body)
     except msgspec.DecodeError as error:
@@ -136,7 +138,7 @@
 
 
 def is_allowed(caller: data.Caller, name: str) -> bool:
-    """Tells whether a caller may use a model or adapter."""
+    """Returns whether a caller may use a model or adapter."""
     return data.WILDCARD in caller.models or name in caller.models
 
 
--- a/sesamecross/entry/service_call.py
+++ b/sesamecross/entry/service_call.py
@@ -1,9 +1,10 @@
-"""Relays calls to plain services; those that may not be repeated run once.
+"""Relays calls to plain services. Non-idempotent calls run at most once.
 
-Why: a pass log that runs twice bills machine hours twice, and one that is
-lost takes a volunteer's night off the record. A call with an idempotency key
-is claimed before its first byte leaves; without a key it is dispatched once
-and never retried after a byte has left.
+Running such a call twice, or losing it, corrupts records: a pass log that runs
+twice bills machine hours twice, and a lost one leaves a volunteer's night
+unrecorded. A call with an idempotency key is claimed before its first byte is
+sent. Without a key it is dispatched once, and never retried after a byte was
+sent.
 """
 
 from collections.abc import Callable
@@ -27,8 +28,8 @@
 from sesamecross.ports import service_http
 
 MAX_ATTEMPTS = 3
-# While the first arrival of a claimed call runs, a second one waits for its
-# answer up to this long before it is told to come back.
+# A request whose key is claimed by a call in progress waits this long for that
+# call's answer before it is told to retry later.
 IN_PROGRESS_WAIT_MS = 3000
 IN_PROGRESS_POLL_S = 0.05
 MAX_KEY_CHARS = 255
@@ -36,7 +37,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceRequest:
-    """A caller's call to a plain service."""
+    """A caller's call to a plain service.
+
+    Attributes:
+      path: The path and query at the service.
+      idempotency_key: The caller's key; empty if it sent none.
+      deadline_ms: The deadline, on the monotonic clock.
+    """
 
     call_id: str
     caller: data.Caller
@@ -49,7 +56,7 @@
     deadline_ms: int
 
     def digest(self) -> str:
-        """Returns what tells a repeated call from another one."""
+        """Returns a digest that is equal for repetitions of a call."""
         text = f"{self.method}\0{self.path}\0".encode()
         return xxhash.xxh3_128_hexdigest(text + self.body)
 
@@ -58,7 +65,7 @@
 
 
 class ServiceDispatcher:
-    """Dispatches service calls. Safe for threads."""
+    """Dispatches service calls. Thread-safe."""
 
     def __init__(
         self,
@@ -81,7 +88,7 @@
         self._lock = threading.Lock()
 
     def call(self, request: ServiceRequest) -> Outcome:
-        """Returns the service's answer or a truthful refusal."""
+        """Returns the service's answer, or a refusal."""
         idempotent = service_routing.is_idempotent(
             request.service, request.method, request.path
         )
@@ -92,7 +99,7 @@
         outcome, _ = self._attempt(request, idempotent=False)
         return outcome
 
-    # -- calls that may be repeated --------------------------------------
+    # -- idempotent calls ------------------------------------------------
 
     def _call_with_retries(self, request: ServiceRequest) -> Outcome:
         excluded: set[str] = set()
@@ -131,10 +138,10 @@
         """Makes one attempt.
 
         Returns:
-          The outcome, and the upstream's name where it failed there.
+          The outcome, and the name of the upstream if the attempt failed.
         """
         snapshot = self._state.snapshot
-        # The service may have been declared anew since the call came.
+        # The service's declaration may have changed since the call arrived.
         service = snapshot.declarations.services.get(
             request.service.name, request.service
         )
@@ -153,14 +160,12 @@
         answer = self._services.call(
             self._service_call(request, upstream), idempotent
         )
-        is_answered = isinstance(answer, data.Answer)
+        answered = isinstance(answer, data.Answer)
         with self._lock:
             self._router.call_ended(
-                upstream.name, is_answered, self._clock.monotonic_ms()
+                upstream.name, answered, self._clock.monotonic_ms()
             )
-        return self._outcome(
-            request, answer
-        ), "" if is_answered else upstream.name
+        return self._outcome(request, answer), "" if answered else upstream.name
 
     def _service_call(
         self, request: ServiceRequest, upstream: data.Upstream
@@ -218,7 +223,7 @@
     def _run_claimed_call(
         self, request: ServiceRequest, claim: records.ClaimMade
     ) -> Outcome:
-        """Dispatches a won claim once and writes down what became of it."""
+        """Runs a call whose claim was won, and settles the claim."""
         excluded: set[str] = set()
         while True:
             outcome, failed_upstream = self._attempt(
@@ -230,8 +235,8 @@
             )
             if not (not_sent and failed_upstream):
                 break
-            # Nothing left this process, so another upstream may be tried
-            # under the same claim.
+            # Nothing was sent, so another upstream may be tried under the
+            # same claim.
             excluded.add(failed_upstream)
         self._settle_claim(claim, outcome, executed=not not_sent)
         return outcome
@@ -253,7 +258,7 @@
         claim: records.ClaimMade,
         verdict: data.ClaimVerdict,
     ) -> Outcome:
-        """Waits for the first arrival's answer, within bounds."""
+        """Waits a bounded time for the answer of the call with the claim."""
         now_ms = self._clock.monotonic_ms()
         wait_until_ms = min(request.deadline_ms, now_ms + IN_PROGRESS_WAIT_MS)
         while verdict.state is data.ClaimState.IN_PROGRESS:
--- a/sesamecross/entry/state.py
+++ b/sesamecross/entry/state.py
@@ -1,7 +1,7 @@
-"""What an entry knows: declarations, callers, drains, and its own state.
+"""An entry's state: declarations, callers, drain marks and open calls.
 
-Why: threads that serve calls read this without locks; each view replaces the
-whole record at once, so a call never sees half of a change.
+Threads that serve calls read the snapshot without a lock. Each view replaces it
+as a whole, so that no call sees a partial change.
 """
 
 import dataclasses
@@ -16,7 +16,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """One consistent state of what the steward told."""
+    """A consistent state received from the steward.
+
+    Attributes:
+      callers: The callers by the digest of their key.
+      draining: Names of the upstreams with a drain mark.
+    """
 
     version: int
     declarations: data.Declarations
@@ -26,7 +31,7 @@
 
 
 class EntryState:
-    """The entry's current knowledge and its open calls."""
+    """The current snapshot, admission of calls, and demand counts."""
 
     __slots__ = (
         "_snapshot",
@@ -53,19 +58,19 @@
 
     @property
     def snapshot(self) -> Snapshot | None:
-        """What is known now; None before the first view."""
+        """The current snapshot; None before the first view."""
         return self._snapshot
 
     @property
     def active_calls(self) -> int:
-        """Calls that are open at this entry."""
+        """Number of open calls at this entry."""
         return self._active_calls
 
     def apply_view(self, view: data.View) -> bool:
-        """Takes in a view; tells whether declarations changed.
+        """Applies a view; returns whether declarations changed.
 
-        A version lower than the one in force is never taken: a steward that
-        starts anew may know less for a moment than this entry does.
+        A version lower than the one in force is ignored: a restarted steward
+        may be behind this entry until it has caught up.
         """
         snapshot = self._snapshot
         if snapshot is not None and view.version < snapshot.version:
@@ -74,7 +79,9 @@
         if changed:
             declarations = declarations_lib.parse(view.tree).declarations
             if declarations is None:
-                self._logger.error("view does not parse", version=view.version)
+                self._logger.error(
+                    "declarations of a view are invalid", version=view.version
+                )
                 return False
             callers = {c.key_digest: c for c in declarations.callers.values()}
         elif snapshot is not None:
@@ -97,16 +104,16 @@
         return changed
 
     def stop_admission(self) -> None:
-        """From now on no call is counted in.
+        """Refuses all calls from now on.
 
-        It is one step with the counting: whoever sees no open call after it
-        can rely on that.
+        Takes the same lock as `admit_call`: once no call is open after this,
+        none can be admitted any more.
         """
         with self._lock:
             self._is_admission_stopped = True
 
     def admit_call(self, caller: data.Caller) -> refusal.Refusal | None:
-        """Counts a call in, or returns why it is refused."""
+        """Admits a call, or returns why it is refused."""
         with self._lock:
             if self._is_admission_stopped:
                 return refusal.stopping()
@@ -118,7 +125,7 @@
             return None
 
     def release_call(self, caller: data.Caller) -> None:
-        """Counts a call out."""
+        """Removes an admitted call from the open calls."""
         with self._lock:
             self._active_calls -= 1
             remaining = self._active_calls_by_caller[caller.name] - 1
@@ -128,12 +135,12 @@
                 del self._active_calls_by_caller[caller.name]
 
     def count_demand(self, target: str) -> None:
-        """Counts a call towards the demand for a model or adapter."""
+        """Counts a call as demand for a model or adapter."""
         with self._lock:
             self._demand[target] = self._demand.get(target, 0) + 1
 
     def take_demand(self) -> dict[str, int]:
-        """Returns the counts since the last time and starts anew."""
+        """Returns the demand since the last call and resets it."""
         with self._lock:
             demand = self._demand
             self._demand = {}
