--- a/sesamecross/entry/app.py
+++ b/sesamecross/entry/app.py
@@ -1,4 +1,4 @@
-"""The entry's application object: owns its parts, their start and end."""
+"""The entry's application object: builds, starts and drains its components."""
 
 import asyncio
 import os
@@ -27,7 +27,7 @@
 
 
 class EntryApp:
-    """Everything that one entry process owns."""
+    """The components of one entry process."""
 
     def __init__(
         self, settings: settings_lib.EntrySettings, clock: clock_lib.Clock
@@ -82,22 +82,22 @@
 
     @classmethod
     def from_settings(cls, settings: settings_lib.EntrySettings) -> "EntryApp":
-        """Returns an application on the machine's clock."""
+        """Returns an application on the system clock."""
         return cls(settings, clock_lib.SystemClock())
 
     def components(self) -> list[supervisor.Component]:
-        """Returns the parts in the order of their start."""
+        """Starts the threads; returns the components in start order."""
         self._dispatcher.start()
         self._stream_relay.start()
         return [self._link, self._http]
 
     async def drain(self) -> None:
-        """Lets the balancer notice, then lets open calls finish.
+        """Lets the balancer stop sending calls, then lets open calls finish.
 
-        Readiness fails first, and each answer from then on ends its
-        connection, so that few are left to close in the end. New calls are
-        still taken while the balancer may send them, then they are refused
-        as not run.
+        Readiness fails first, and each response from then on closes its
+        connection, so that few are left to close at the end. New calls are
+        admitted while the balancer may still send them; after that they are
+        refused as not run.
         """
         self._state.stopping = True
         self._http.disable_keep_alive()
@@ -117,13 +117,13 @@
                 )
         if self._state.active_calls:
             self._logger.error(
-                "calls are cut off, the drain took too long",
+                "drain timed out, open calls are aborted",
                 open_calls=self._state.active_calls,
             )
         self._dispatcher.shut_down()
 
     def _on_view(self, view: data.View) -> int:
-        """Takes in a view; returns the version in force after it."""
+        """Applies a view; returns the version in force, -1 if none."""
         changed = self._state.apply_view(view)
         snapshot = self._state.snapshot
         if snapshot is None:
--- a/sesamecross/entry/app_test.py
+++ b/sesamecross/entry/app_test.py
@@ -1,4 +1,4 @@
-"""Tests of the entry's planned stop."""
+"""Tests of the entry's drain."""
 
 import asyncio
 import http.client
@@ -23,8 +23,8 @@
 )
 
 
-class Callers(dict):
-    """Lets the whole drain pass while a call's caller is looked up."""
+class DrainingCallers(dict):
+    """Runs the whole drain while the caller of a call is looked up."""
 
     def __init__(self, entry):
         super().__init__()
@@ -36,17 +36,17 @@
 
 
 def test_a_call_is_counted_before_the_drain_ends_or_refused():
-    """A call ran on while its entry was taken apart by a planned stop.
+    """A call kept running while a drained entry shut down its components.
 
-    Its thread had looked whether calls are refused just before they were, and
-    was counted as open just after the drain had seen that no call is. The two
-    looks were not one step; now the counting itself refuses.
+    Its thread checked for refusal just before admission stopped, and counted
+    the call just after the drain saw none open. The check and the count must
+    be one atomic step.
     """
     entry = app_lib.EntryApp.from_settings(SETTINGS)
     entry._state._snapshot = state_lib.Snapshot(
         1,
         declarations.parse({}).declarations,
-        Callers(entry),
+        DrainingCallers(entry),
         frozenset(),
         True,
     )
@@ -66,12 +66,11 @@
 
 
 def test_answers_in_a_drain_end_their_connections():
-    """A caller's next order met the end of a connection that it had kept.
+    """A caller sent a request on a kept connection just as it was closed.
 
-    The entry went on keeping connections alive until it stopped, and closed
-    them then. Whoever sent a request on one at that moment could not know
-    whether it had run. From the drain's first moment an answer says that its
-    connection ends.
+    If the entry keeps connections alive until it stops, a caller that sends a
+    request at that moment can't know whether it ran. From the start of a drain
+    each response must close its connection.
     """
     entry = app_lib.EntryApp.from_settings(SETTINGS)
     entry._http.start()
--- a/sesamecross/entry/service_call_test.py
+++ b/sesamecross/entry/service_call_test.py
@@ -1,4 +1,4 @@
-"""Tests of calls to plain services while declarations change."""
+"""Tests of service calls while declarations change."""
 
 import random
 
@@ -39,8 +39,8 @@
     return state_lib.Snapshot(1, parsed.declarations, {}, frozenset(), True)
 
 
-class Link:
-    """Lets a new view come while a claim is decided."""
+class FakeStewardLink:
+    """Replaces the snapshot while a claim is decided."""
 
     def __init__(self, state, after):
         self._state = state
@@ -55,8 +55,8 @@
         self.settled.append(settled)
 
 
-class Services:
-    """Answers every call and notes where it went."""
+class FakeService:
+    """Answers every call and records its URL."""
 
     def __init__(self):
         self.urls = []
@@ -72,18 +72,18 @@
     ids=["service removed", "upstream replaced"],
 )
 def test_a_claimed_call_outlives_a_change_of_its_service(after, urls, executed):
-    """An order was cut off, and its key was held as in progress for ever.
+    """A call was aborted, and its key stayed in progress forever.
 
-    Its claim had just been won when a configuration removed the upstream that
-    the service had when the order arrived. The choice stumbled over the name,
-    and the error left the claim unsettled. The newest declaration is asked
-    now, and names that it lacks are passed over.
+    Just after its claim was won, a configuration removed the upstream that the
+    service had when the call arrived. The lookup of the name raised an error
+    that left the claim unsettled. Routing must use the newest declaration and
+    skip names that it lacks.
     """
     recorder = timeline.Recorder("e", "z", clock.ManualClock(1000))
     state = state_lib.EntryState(recorder)
     state._snapshot = snapshot(["a"])
-    link = Link(state, snapshot(after))
-    services = Services()
+    link = FakeStewardLink(state, snapshot(after))
+    services = FakeService()
     dispatcher = service_call.ServiceDispatcher(
         "z",
         state,
--- a/sesamecross/entry/steward_link.py
+++ b/sesamecross/entry/steward_link.py
@@ -1,8 +1,9 @@
 """The entry's stream to the steward on its instance.
 
-Why: views come in, claims and demand go out. The entry serves on its last
-view while the steward is away; only calls that need a claim are refused then.
-Runs on the event loop; the threads that serve calls use the plain methods.
+It receives views, and sends claims, their outcomes and demand. Without the
+steward the entry serves on its last view; only calls that need a claim are
+refused. Runs on the event loop; threads that serve calls use the methods that
+aren't coroutines.
 """
 
 import asyncio
@@ -26,7 +27,7 @@
 
 
 class StewardLink:
-    """Component that keeps the stream and matches replies."""
+    """Component that keeps the stream open and matches replies."""
 
     def __init__(
         self,
@@ -48,32 +49,34 @@
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The component's name in logs."""
         return "steward-link"
 
     @property
     def is_connected(self) -> bool:
-        """Whether the steward can be asked now."""
+        """Whether the stream to the steward is open."""
         return self._stream is not None
 
     async def run(self) -> None:
-        """Keeps the stream open until cancelled."""
+        """Connects, and reconnects after failures, until cancelled."""
         self._loop = asyncio.get_running_loop()
         while True:
             try:
                 await self._run_session()
             except streams.StreamClosedError as error:
-                self._logger.debug("no stream", reason=str(error))
+                self._logger.debug(
+                    "stream to steward closed", reason=str(error)
+                )
             self._handle_disconnect()
             await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def stop(self) -> None:
-        """Closes the stream, once all outcomes are confirmed.
+        """Closes the stream once outcomes are confirmed, or after a timeout.
 
-        One that is not told is written down as unknown by the steward, and a
-        repetition of an order that ran would not get its answer.
+        The steward records an outcome that it didn't receive as unknown, and a
+        repetition of a call that ran would not get its answer.
         """
-        # What other threads have settled is kept in the loop's next turn.
+        # Outcomes from other threads are added in the loop's next iteration.
         await asyncio.sleep(0)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(REPLY_TIMEOUT_S):
@@ -81,7 +84,7 @@
                     await asyncio.sleep(CONFIRM_POLL_S)
         if self._unconfirmed_outcomes:
             self._logger.warning(
-                "outcomes of claims are not confirmed",
+                "stopping with unconfirmed claim outcomes",
                 claims=len(self._unconfirmed_outcomes),
                 remedy="stop an instance's entry before its steward",
             )
@@ -97,7 +100,7 @@
             self._recorder,
         )
         self._stream = stream
-        self._logger.info("steward is connected")
+        self._logger.info("connected to steward")
         tasks = [
             asyncio.create_task(self._send_demand(stream)),
             asyncio.create_task(self._send_outcomes()),
@@ -112,7 +115,7 @@
 
     def _handle_disconnect(self) -> None:
         if self._stream is not None:
-            self._logger.warning("steward is gone, serving on the last view")
+            self._logger.warning("steward disconnected, serving on last view")
         self._stream = None
         for future in self._pending_replies.values():
             if not future.done():
@@ -146,8 +149,8 @@
             and value.state is data.ClaimState.WON
         )
         if is_won:
-            # Nobody waits for this claim any more: its call was refused and
-            # will not be dispatched.
+            # No thread waits for this claim any more: its call was refused
+            # and will not be dispatched.
             self._enqueue_outcome(
                 records.ClaimSettled(value.claim_id, False, None)
             )
@@ -157,7 +160,7 @@
         self._outcome_ready.set()
 
     async def _send_outcomes(self) -> None:
-        """Tells each outcome until the steward has confirmed it."""
+        """Sends each outcome until the steward has confirmed it."""
         while True:
             await self._outcome_ready.wait()
             self._outcome_ready.clear()
@@ -183,17 +186,20 @@
     # -- called from threads ---------------------------------------------
 
     def claim(self, claim: records.ClaimMade) -> data.ClaimVerdict | None:
-        """Returns the verdict on a claim, or None if none can be had."""
+        """Returns the verdict on a claim; None without a reply."""
         request_id = uuid.uuid4().hex
         return self._request(messages.ClaimRequest(request_id, claim))
 
     def look_up(self, claim: records.ClaimMade) -> data.ClaimVerdict | None:
-        """Returns what is known now of the claim that holds the name."""
+        """Returns the state of the claim that holds the key now.
+
+        None without a reply.
+        """
         request_id = uuid.uuid4().hex
         return self._request(messages.ClaimLookup(request_id, claim))
 
     def settle(self, settled: records.ClaimSettled) -> None:
-        """Tells an outcome, now or when the steward is back."""
+        """Sends an outcome, now or once the steward is connected."""
         if self._loop is not None:
             self._loop.call_soon_threadsafe(self._enqueue_outcome, settled)
 
--- a/sesamecross/entry/steward_link_test.py
+++ b/sesamecross/entry/steward_link_test.py
@@ -1,4 +1,4 @@
-"""Tests of the entry's stream to its steward, when the entry stops."""
+"""Tests of the entry's stream to its steward during a stop."""
 
 import asyncio
 
@@ -15,12 +15,12 @@
 OUTCOME = records.ClaimSettled("claim", True, None)
 
 
-class Steward:
-    """Confirms each outcome at the second time of asking."""
+class FakeSteward:
+    """Confirms outcomes from the second request on."""
 
     def __init__(self):
         self.confirmed = []
-        self._asked = 0
+        self._request_count = 0
         self._recorder = timeline.Recorder("s", "z", clock.SystemClock())
 
     async def serve(self, reader, writer):
@@ -29,26 +29,25 @@
             while True:
                 message = await stream.receive()
                 if isinstance(message, messages.ClaimOutcome):
-                    self._asked += 1
-                    if self._asked > 1:
+                    self._request_count += 1
+                    if self._request_count > 1:
                         self.confirmed.append(message.settled)
-                    ok = self._asked > 1
+                    ok = self._request_count > 1
                     await stream.send(messages.Done(message.request_id, ok))
         except streams.StreamClosedError:
             writer.close()
 
 
 def test_outcomes_are_confirmed_before_the_entry_stops():
-    """An order that had been answered was told to be of unknown outcome.
+    """The repetition of an answered call was refused as of unknown outcome.
 
-    Its entry stopped by plan right after the answer and closed the stream to
-    its steward with the outcome still to be told. The steward wrote the claim
-    down as unknown, and the order's repetition got that. The link waits for
-    the steward's word now, as long as it waits for any.
+    The entry stopped right after the answer and closed its stream before the
+    outcome was sent, so the steward recorded the claim as unknown. The link
+    must wait for the steward's confirmation, up to its reply timeout.
     """
 
-    async def story():
-        steward = Steward()
+    async def scenario():
+        steward = FakeSteward()
         server = await asyncio.start_server(steward.serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         settings = settings_lib.EntrySettings(
@@ -73,4 +72,4 @@
         server.close()
         return steward.confirmed
 
-    assert asyncio.run(story()) == [OUTCOME]
+    assert asyncio.run(scenario()) == [OUTCOME]
