--- a/sesamecross/entry/app.py
+++ b/sesamecross/entry/app.py
@@ -1,4 +1,4 @@
-"""The entry's application object: owns its parts, their start and end."""
+"""The entry's application object: builds, starts and drains its components."""
 
 import asyncio
 import os
@@ -27,7 +27,7 @@
 
 
 class EntryApp:
-    """Everything that one entry process owns."""
+    """The components of one entry process."""
 
     def __init__(
         self, settings: settings_lib.EntrySettings, clock: clock_lib.Clock
@@ -38,10 +38,10 @@
             f"entry/{settings.instance}", settings.zone, clock
         )
         rng = random.Random(os.urandom(8))
-        place = routing.EntryLocation(settings.zone, settings.region, {})
+        location = routing.EntryLocation(settings.zone, settings.region, {})
         self._state = state_lib.EntryState(self.recorder)
         self._dispatcher = model_dispatcher.ModelDispatcher(
-            place, routing.policy_of(settings.policy), clock, rng
+            location, routing.policy_of(settings.policy), clock, rng
         )
         self._link = steward_link.StewardLink(
             settings, self.recorder, self._on_view, self._state.take_demand
@@ -82,22 +82,22 @@
 
     @classmethod
     def from_settings(cls, settings: settings_lib.EntrySettings) -> "EntryApp":
-        """Returns an application on the machine's clock."""
+        """Returns an application on the system clock."""
         return cls(settings, clock_lib.SystemClock())
 
     def components(self) -> list[supervisor.Component]:
-        """Returns the parts in the order of their start."""
+        """Starts the threads; returns the components in start order."""
         self._dispatcher.start()
         self._stream_relay.start()
         return [self._link, self._http]
 
     async def drain(self) -> None:
-        """Lets the balancer notice, then lets open calls finish.
+        """Lets the balancer stop sending calls, then lets open calls finish.
 
-        Readiness fails first, and each answer from then on ends its
-        connection, so that few are left to close in the end. New calls are
-        still taken while the balancer may send them, then they are refused
-        as not run.
+        Readiness fails first, and each response from then on closes its
+        connection, so that few are left to close at the end. New calls are
+        admitted while the balancer may still send them; after that they are
+        refused as not run.
         """
         self._state.stopping = True
         self._http.disable_keep_alive()
@@ -105,25 +105,25 @@
         await asyncio.sleep(self._settings.balancer_lag_ms / 1000)
         self._state.stop_admission()
         left_s = self._settings.drain_ms / 1000
-        said_s = DRAIN_LOG_INTERVAL_S
+        until_log_s = DRAIN_LOG_INTERVAL_S
         while self._state.active_calls and left_s > 0:
             await asyncio.sleep(DRAIN_POLL_S)
             left_s -= DRAIN_POLL_S
-            said_s -= DRAIN_POLL_S
-            if said_s <= 0:
-                said_s = DRAIN_LOG_INTERVAL_S
+            until_log_s -= DRAIN_POLL_S
+            if until_log_s <= 0:
+                until_log_s = DRAIN_LOG_INTERVAL_S
                 self._logger.info(
                     "draining", open_calls=self._state.active_calls
                 )
         if self._state.active_calls:
             self._logger.error(
-                "calls are cut off, the drain took too long",
+                "drain timed out, open calls are aborted",
                 open_calls=self._state.active_calls,
             )
         self._dispatcher.shut_down()
 
     def _on_view(self, view: data.View) -> int:
-        """Takes in a view; returns the version in force after it."""
+        """Applies a view; returns the version in force, -1 if none."""
         changed = self._state.apply_view(view)
         snapshot = self._state.snapshot
         if snapshot is None:
@@ -132,5 +132,5 @@
         if changed:
             entries = max(1, view.entries)
             self._dispatcher.configure(snapshot.declarations, draining, entries)
-        self._dispatcher.reports(view.reports, draining)
+        self._dispatcher.update_reports(view.reports, draining)
         return snapshot.version
--- a/sesamecross/entry/stream_relay.py
+++ b/sesamecross/entry/stream_relay.py
@@ -1,12 +1,12 @@
-"""Moves tokens from engines to callers, for all calls, in one thread.
+"""Relays tokens from engines to callers, for all calls, in one thread.
 
-Why: with a thread for each stream, every token wakes a thread that has to
-fight the others for the interpreter lock; measured at 100 streams that costs
-260 to 580 microseconds a token (docs/design/0004-relay.md). Here a call's own
-thread waits once, until its attempt has ended.
+With a thread per stream, every token wakes a thread that contends for the
+interpreter lock; at 100 streams this cost 260 to 580 microseconds per token
+(docs/design/0004-relay.md). Here the thread of a call waits once, until its
+attempt has ended.
 
-A slow caller holds a bounded number of bytes and stops the reading of its own
-engine only.
+The bytes buffered for a slow caller are bounded, and only the engine stream of
+its own call is no longer read.
 """
 
 import contextlib
@@ -26,28 +26,40 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Completed:
-    """The answer came to its proper end."""
+    """The whole response was relayed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Interrupted:
-    """The engine failed before the answer's end."""
+    """The engine failed, or the deadline passed, before the response ended."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallerLeft:
-    """The caller went away or did not read."""
+class CallerDisconnected:
+    """The caller disconnected or did not read."""
 
     reason: str
 
 
-TransferResult = Completed | Interrupted | CallerLeft
+TransferResult = Completed | Interrupted | CallerDisconnected
 
 
 class Transfer:
-    """One attempt that is being moved."""
+    """The relay of one attempt's response.
+
+    Attributes:
+      engine_idle_timeout_s: Longest wait for bytes from the engine.
+      caller_idle_timeout_s: Longest wait for the caller to take bytes.
+      deadline_s: The call's deadline, on the monotonic clock.
+      result: How the relay ended; None before that.
+      done: Set when the transfer has ended and left the selector.
+      engine_idle_since_s: When the wait for the engine began.
+      caller_idle_since_s: When the wait for the caller began.
+      is_reading: Whether the engine's stream is registered for reading.
+      is_writing: Whether the sink is registered for writing.
+    """
 
     __slots__ = (
         "stream",
@@ -56,14 +68,14 @@
         "engine_idle_timeout_s",
         "caller_idle_timeout_s",
         "deadline_s",
-        "first_s",
+        "first_token_s",
         "last_token_s",
         "result",
         "done",
         "engine_idle_since_s",
         "caller_idle_since_s",
-        "reading",
-        "writing",
+        "is_reading",
+        "is_writing",
     )
 
     def __init__(
@@ -81,74 +93,74 @@
         self.engine_idle_timeout_s = engine_idle_timeout_s
         self.caller_idle_timeout_s = caller_idle_timeout_s
         self.deadline_s = deadline_s
-        self.first_s: float | None = None
+        self.first_token_s: float | None = None
         self.last_token_s = 0.0
         self.result: TransferResult | None = None
         self.done = threading.Event()
         self.engine_idle_since_s = self.caller_idle_since_s = time.monotonic()
-        self.reading = False
-        self.writing = False
+        self.is_reading = False
+        self.is_writing = False
 
     def read_engine(self, now_s: float) -> None:
-        """Moves what the engine has sent; may set `ending`."""
+        """Relays what the engine has sent; may set `result`."""
         self.engine_idle_since_s = now_s
         try:
             events = self.stream.read(None)
-            before = self.validator.tokens
+            tokens_before = self.validator.tokens
             chunks = []
             for event in events:
                 chunk = self.validator.process_event(event)
                 if chunk is not None:
                     chunks.append(chunk)
-            if self.validator.tokens > before:
-                self.first_s = self.first_s or now_s
+            if self.validator.tokens > tokens_before:
+                self.first_token_s = self.first_token_s or now_s
                 self.last_token_s = now_s
             if chunks:
-                self.sink.accept(chunks)
+                self.sink.write(chunks)
         except (
             engine_stream.StreamBroken,
             answer_validator.InvalidEventError,
         ) as error:
             self.result = Interrupted(str(error))
         except sinks.CallerDisconnectedError as error:
-            self.result = CallerLeft(str(error))
+            self.result = CallerDisconnected(str(error))
         else:
-            self._look_for_end()
+            self._check_completion()
 
-    def _look_for_end(self) -> None:
+    def _check_completion(self) -> None:
         if self.validator.done:
-            if not self.sink.pending:
+            if not self.sink.has_pending_bytes:
                 self.result = Completed()
         elif self.stream.ended:
             self.result = Interrupted("the answer ended early")
 
     def write_caller(self, now_s: float) -> None:
-        """Sends what waits for the caller; may set `ending`."""
+        """Sends buffered bytes to the caller; may set `result`."""
         try:
             if self.sink.flush():
                 self.caller_idle_since_s = now_s
         except sinks.CallerDisconnectedError as error:
-            self.result = CallerLeft(str(error))
+            self.result = CallerDisconnected(str(error))
         else:
-            if self.validator.done and not self.sink.pending:
+            if self.validator.done and not self.sink.has_pending_bytes:
                 self.result = Completed()
 
     def check_caller(self) -> None:
-        """Looks whether the caller hung up; may set `ending`."""
+        """Checks that the caller is still connected; may set `result`."""
         try:
             self.sink.check_alive()
         except sinks.CallerDisconnectedError as error:
-            self.result = CallerLeft(str(error))
+            self.result = CallerDisconnected(str(error))
 
-    def sweep(self, now_s: float) -> None:
-        """Looks at the time that passed; may set `ending`."""
-        if self.sink.pending:
+    def check_timeouts(self, now_s: float) -> None:
+        """Checks the idle timeouts and the deadline; may set `result`."""
+        if self.sink.has_pending_bytes:
             if now_s - self.caller_idle_since_s > self.caller_idle_timeout_s:
-                self.result = CallerLeft("does not read")
+                self.result = CallerDisconnected("does not read")
         else:
             self.caller_idle_since_s = now_s
         if self.validator.done or self.sink.is_full:
-            # It is the caller who is waited for, not the engine.
+            # The relay waits for the caller, not for the engine.
             self.engine_idle_since_s = now_s
         elif now_s - self.engine_idle_since_s > self.engine_idle_timeout_s:
             self.result = Interrupted("the engine is silent")
@@ -157,73 +169,82 @@
 
 
 class StreamRelay:
-    """The thread and its selector."""
+    """The relay's thread and its selector."""
 
-    __slots__ = ("_selector", "_lock", "_new", "_wake", "_woken", "_active")
+    __slots__ = (
+        "_selector",
+        "_lock",
+        "_new_transfers",
+        "_wakeup_sender",
+        "_wakeup_receiver",
+        "_active_transfers",
+    )
 
     def __init__(self) -> None:
         self._selector = selectors.DefaultSelector()
         self._lock = threading.Lock()
-        self._new: list[Transfer] = []
-        self._wake, self._woken = socket.socketpair()
-        self._wake.setblocking(False)
-        self._woken.setblocking(False)
-        self._active: set[Transfer] = set()
+        self._new_transfers: list[Transfer] = []
+        self._wakeup_sender, self._wakeup_receiver = socket.socketpair()
+        self._wakeup_sender.setblocking(False)
+        self._wakeup_receiver.setblocking(False)
+        self._active_transfers: set[Transfer] = set()
 
     def start(self) -> None:
-        """Starts the thread; it lives as long as the process."""
-        self._selector.register(self._woken, selectors.EVENT_READ, None)
+        """Starts the thread, which runs until the process exits."""
+        self._selector.register(
+            self._wakeup_receiver, selectors.EVENT_READ, None
+        )
         threading.Thread(target=self._run, name="pump", daemon=True).start()
 
     def run_transfer(self, transfer: Transfer) -> TransferResult:
-        """Moves one attempt to its end; the calling thread waits."""
+        """Relays one attempt; blocks until it has ended."""
         with self._lock:
-            self._new.append(transfer)
-        # When the pipe is full the thread has been woken often enough.
+            self._new_transfers.append(transfer)
+        # If the socket buffer is full, a wakeup is already pending.
         with contextlib.suppress(BlockingIOError):
-            self._wake.send(b"x")
+            self._wakeup_sender.send(b"x")
         transfer.done.wait()
         return transfer.result
 
     def _run(self) -> None:
-        log = logs.get_logger("pump")
-        swept_s = 0.0
+        logger = logs.get_logger("pump")
+        last_sweep_s = 0.0
         while True:
             ready = self._selector.select(SWEEP_INTERVAL_S)
             now_s = time.monotonic()
             for key, mask in ready:
                 if key.data is None:
-                    self._take_new()
+                    self._accept_new_transfers()
                     continue
                 transfer, is_engine = key.data
                 if transfer.result is not None:
                     continue
                 try:
-                    self._serve(transfer, is_engine, mask, now_s)
+                    self._handle_event(transfer, is_engine, mask, now_s)
                 except Exception as error:
-                    # A fault in one transfer must not stop all others.
-                    log.exception("transfer failed")
+                    # An error in one transfer must not stop the others.
+                    logger.exception("unexpected error in a transfer")
                     transfer.result = Interrupted(repr(error))
-                self._settle(transfer)
-            if now_s - swept_s > SWEEP_INTERVAL_S:
-                swept_s = now_s
-                self._sweep(now_s)
+                self._update_or_end(transfer)
+            if now_s - last_sweep_s > SWEEP_INTERVAL_S:
+                last_sweep_s = now_s
+                self._check_all_timeouts(now_s)
 
-    def _take_new(self) -> None:
+    def _accept_new_transfers(self) -> None:
         try:
-            self._woken.recv(4096)
+            self._wakeup_receiver.recv(4096)
         except BlockingIOError:
             return
         with self._lock:
-            new, self._new = self._new, []
+            new, self._new_transfers = self._new_transfers, []
         now_s = time.monotonic()
         for transfer in new:
-            self._active.add(transfer)
-            # Events may have come with the head of the answer already.
+            self._active_transfers.add(transfer)
+            # Events may have arrived together with the response headers.
             transfer.read_engine(now_s)
-            self._settle(transfer)
+            self._update_or_end(transfer)
 
-    def _serve(
+    def _handle_event(
         self, transfer: Transfer, is_engine: bool, mask: int, now_s: float
     ) -> None:
         if is_engine:
@@ -234,42 +255,42 @@
         if mask & selectors.EVENT_READ and transfer.result is None:
             transfer.check_caller()
 
-    def _settle(self, transfer: Transfer) -> None:
-        """Registers what the transfer waits for now, or ends it."""
+    def _update_or_end(self, transfer: Transfer) -> None:
+        """Updates the selector's registrations, or ends the transfer."""
         if transfer.result is not None:
-            self._end(transfer)
+            self._end_transfer(transfer)
             return
         wants_read = not (transfer.validator.done or transfer.sink.is_full)
-        if wants_read != transfer.reading:
-            transfer.reading = wants_read
+        if wants_read != transfer.is_reading:
+            transfer.is_reading = wants_read
             if wants_read:
                 self._selector.register(
                     transfer.stream, selectors.EVENT_READ, (transfer, True)
                 )
             else:
                 self._selector.unregister(transfer.stream)
-        wants_write = transfer.sink.pending
-        if wants_write != transfer.writing:
-            transfer.writing = wants_write
+        wants_write = transfer.sink.has_pending_bytes
+        if wants_write != transfer.is_writing:
+            transfer.is_writing = wants_write
             if wants_write:
                 mask = selectors.EVENT_WRITE
                 self._selector.register(transfer.sink, mask, (transfer, False))
             else:
                 self._selector.unregister(transfer.sink)
 
-    def _end(self, transfer: Transfer) -> None:
-        if transfer.reading:
+    def _end_transfer(self, transfer: Transfer) -> None:
+        if transfer.is_reading:
             self._selector.unregister(transfer.stream)
-        if transfer.writing:
+        if transfer.is_writing:
             self._selector.unregister(transfer.sink)
-        self._active.discard(transfer)
+        self._active_transfers.discard(transfer)
         transfer.done.set()
 
-    def _sweep(self, now_s: float) -> None:
-        for transfer in list(self._active):
+    def _check_all_timeouts(self, now_s: float) -> None:
+        for transfer in list(self._active_transfers):
             if isinstance(transfer.sink, sinks.CallerSink):
                 transfer.check_caller()
             if transfer.result is None:
-                transfer.sweep(now_s)
+                transfer.check_timeouts(now_s)
             if transfer.result is not None:
-                self._settle(transfer)
+                self._update_or_end(transfer)
