--- a/sesamecross/fakes/__init__.py
+++ b/sesamecross/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and upstreams, for demo and tests."""
+"""Fakes of the platform, upstreams and callers, for the demo and tests."""
--- a/sesamecross/fakes/base.py
+++ b/sesamecross/fakes/base.py
@@ -1,8 +1,8 @@
-"""What all fakes share: a JSON router, metrics and a process's life.
+"""What all fakes share: a JSON router, metrics and running as a process.
 
-Why: each fake is a process of its own in the demo and in integration tests,
-and answers `GET /fake/stats`, so that checks read the fakes' own records and
-not the system's word.
+Each fake is a separate process in the demo and in integration tests. It answers
+`GET /fake/stats`, so that checks read what the fakes recorded instead of what
+the system under test reports.
 """
 
 import argparse
@@ -19,7 +19,7 @@
 from sesamecross.runtime import metrics
 from sesamecross.runtime import signals
 
-REASONS = {
+STATUS_LINES = {
     200: "200 OK",
     202: "202 Accepted",
     400: "400 Bad Request",
@@ -49,28 +49,28 @@
 
     @property
     def body(self) -> bytes:
-        """The request's body, read once."""
+        """The request's body; read on first use, then cached."""
         if self._body is None:
             self._body = http_server.read_body(self.environ)
         return self._body
 
     def json(self) -> Any:
-        """Returns the body as JSON."""
+        """Returns the body, decoded from JSON."""
         return json.loads(self.body)
 
     def header(self, name: str, default: str = "") -> str:
-        """Returns a request header."""
+        """Returns a request header, or `default` without it."""
         key = "HTTP_" + name.upper().replace("-", "_")
         return self.environ.get(key, default)
 
     def query(self) -> dict[str, str]:
-        """Returns the query's fields; none of them repeat here."""
+        """Returns the query's fields; repeated fields are not supported."""
         pairs = self.environ.get("QUERY_STRING", "").split("&")
         return dict(pair.split("=", 1) for pair in pairs if "=" in pair)
 
 
 class Response:
-    """An answer: JSON, bytes, or an iterator of bytes for a stream."""
+    """A response: JSON, bytes, or an iterator of bytes for a stream."""
 
     __slots__ = ("status", "body", "headers")
 
@@ -89,13 +89,15 @@
 
 
 class FakeServer:
-    """Routes requests to handlers; component of a fake's process."""
+    """Routes requests to handlers; runs as a component of a fake's process."""
 
     def __init__(self, name: str, listen: str, threads: int = 32):
         self.metrics = metrics.Metrics()
         self._routes: list[tuple[str, re.Pattern, Handler]] = []
         limits = http_server.Limits(threads=threads, idle_s=60)
-        self._server = http_server.HttpServer(name, listen, self._app, limits)
+        self._server = http_server.HttpServer(
+            name, listen, self._wsgi_app, limits
+        )
         self.route("GET", "/metrics", self._metrics)
         self.route("GET", "/healthz", lambda _: Response({"ok": True}))
 
@@ -113,16 +115,16 @@
         return [self._server]
 
     async def drain(self) -> None:
-        """Waits for nothing: a fake is scaffolding."""
+        """Does nothing: a fake does not drain."""
         await asyncio.sleep(0)
 
     def _metrics(self, _request: Request) -> Response:
         body, content_type = self.metrics.render()
         return Response(body, headers={"Content-Type": content_type})
 
-    def _app(self, environ: dict, start_response: Any) -> Iterable[bytes]:
+    def _wsgi_app(self, environ: dict, start_response: Any) -> Iterable[bytes]:
         request = Request(environ)
-        response = self._handle(request)
+        response = self._dispatch(request)
         body = response.body
         headers = dict(response.headers)
         if not isinstance(body, (bytes, bytearray)) and (
@@ -133,10 +135,10 @@
         if isinstance(body, bytes):
             headers["Content-Length"] = str(len(body))
             body = [body]
-        start_response(REASONS[response.status], list(headers.items()))
+        start_response(STATUS_LINES[response.status], list(headers.items()))
         return body
 
-    def _handle(self, request: Request) -> Response:
+    def _dispatch(self, request: Request) -> Response:
         for method, pattern, handler in self._routes:
             match = pattern.match(request.path)
             if match and method in (request.method, "ANY"):
@@ -154,7 +156,7 @@
 
 
 def parser(description: str) -> argparse.ArgumentParser:
-    """Returns a parser with the flags of every fake."""
+    """Returns a parser with the flags that all fakes have."""
     result = argparse.ArgumentParser(description=description)
     result.add_argument("--listen", required=True, help="IP number and port")
     result.add_argument("--name", default="fake", help="name in logs")
@@ -168,6 +170,6 @@
     server: FakeServer,
     pending_signals: signals.PendingSignals,
 ) -> int:
-    """Runs a fake's process to its end."""
+    """Runs a fake until it stops; returns the exit code."""
     logs.configure(flags.log_level, "json", instance=flags.name)
     return application.Application(server, pending_signals).run()
--- a/sesamecross/fakes/engine.py
+++ b/sesamecross/fakes/engine.py
@@ -1,4 +1,4 @@
-"""A fake model engine: calls, orders, late cache events, lagging reports."""
+"""A fake model engine: calls, orders, delayed cache events, lagging reports."""
 
 from collections.abc import Iterator
 import json
@@ -13,7 +13,7 @@
 
 
 class EngineServer(base.FakeServer):
-    """Serves the wire form that `ports.engine_http` describes."""
+    """Serves the protocol that `ports.engine_http` describes."""
 
     def __init__(self, flags):
         super().__init__(flags.name, flags.listen, threads=flags.threads)
@@ -25,7 +25,7 @@
         self._lag_s = flags.report_lag_ms / 1000
         self._lock = threading.Lock()
         self._sequence = 0
-        self._late: list[tuple[float, tuple[int, int]]] = []
+        self._count_history: list[tuple[float, tuple[int, int]]] = []
         self._calls: dict[str, int] = {}
         self._cancelled = 0
         self._faults = {
@@ -61,12 +61,12 @@
         resume = int(request.header("Last-Event-ID", "0"))
         if resume and not self._faults["resume"]:
             return base.Response({"error": "can't resume"}, 400, echo)
-        chat = request.match.group(1).startswith("chat")
-        limit = body.get("max_completion_tokens") or body.get("max_tokens")
+        is_chat = request.match.group(1).startswith("chat")
+        max_tokens = body.get("max_completion_tokens") or body.get("max_tokens")
         call = engine_batch.Call(
             request_id,
-            _prompt(body, chat),
-            limit or DEFAULT_TOKENS,
+            _prompt(body, is_chat),
+            max_tokens or DEFAULT_TOKENS,
             resume,
             int(request.header("X-Priority", "5")),
         )
@@ -74,27 +74,31 @@
             self._calls[request_id] = self._calls.get(request_id, 0) + 1
         self._batch.submit(call, model)
         echo["Content-Type"] = "text/event-stream"
-        return base.Response(self._events(call, body, chat), 200, echo)
+        return base.Response(self._events(call, body, is_chat), 200, echo)
 
     def _events(
-        self, call: engine_batch.Call, body: dict, chat: bool
+        self, call: engine_batch.Call, body: dict, is_chat: bool
     ) -> Iterator[bytes]:
         sent = 0
         finished = False
         try:
             while (item := call.tokens.get()) is not None:
-                number, text = item
+                token_number, text = item
                 die_after = self._faults["die_after"]
                 if die_after and sent >= die_after:
-                    # Once for each time that it is told so.
+                    # Applies once for each time that the fault is set.
                     self._faults["die_after"] = 0
-                    raise ConnectionAbortedError("told to die mid-stream")
-                yield _event(call, body, chat, text, number, None)
+                    raise ConnectionAbortedError(
+                        "aborted by the fault die_after"
+                    )
+                yield _token_event(
+                    call, body, is_chat, text, token_number, None
+                )
                 sent += 1
             reason = "length"
-            yield _event(call, body, chat, "", call.made, reason)
+            yield _token_event(call, body, is_chat, "", call.generated, reason)
             if (body.get("stream_options") or {}).get("include_usage"):
-                yield _usage_event(call, body, chat)
+                yield _usage_event(call, body, is_chat)
             yield b"data: [DONE]\n\n"
             finished = True
         finally:
@@ -103,8 +107,8 @@
                 self._cancelled += 1
 
     def _cancel(self, request: base.Request) -> base.Response:
-        known = self._batch.cancel(request.match.group(1))
-        return base.Response({"cancelled": known})
+        was_known = self._batch.cancel(request.match.group(1))
+        return base.Response({"cancelled": was_known})
 
     def _order(self, request: base.Request) -> base.Response:
         order = request.json()
@@ -137,18 +141,21 @@
     def _lagging_counts(self) -> tuple[int, int]:
         now = time.monotonic()
         with self._lock:
-            self._late.append((now, self._batch.counts()))
-            while len(self._late) > 1 and self._late[1][0] <= now - self._lag_s:
-                self._late.pop(0)
-            return self._late[0][1]
+            self._count_history.append((now, self._batch.counts()))
+            while (
+                len(self._count_history) > 1
+                and self._count_history[1][0] <= now - self._lag_s
+            ):
+                self._count_history.pop(0)
+            return self._count_history[0][1]
 
     def _cache_events(self, request: base.Request) -> base.Response:
-        # Late and with gaps: the newest tenth is held back, and what fell
-        # out of the buffer is gone.
+        # Delayed and with gaps: the newest tenth is withheld, and events that
+        # left the buffer are lost.
         start = int(request.query().get("from", "0"))
         events = self._batch.cache.events
-        shown = events[: max(0, len(events) - len(events) // 10)]
-        return base.Response([e for e in shown if e[0] >= start][:500])
+        visible = events[: max(0, len(events) - len(events) // 10)]
+        return base.Response([e for e in visible if e[0] >= start][:500])
 
     def _set_faults(self, request: base.Request) -> base.Response:
         faults = request.json()
@@ -182,13 +189,13 @@
         )
 
 
-def _prompt(body: dict, chat: bool) -> str:
-    """Returns the text that the engine works on.
+def _prompt(body: dict, is_chat: bool) -> str:
+    """Returns the prompt text.
 
-    With a final assistant message to continue, that message is a part of the
-    answer and not of the prompt.
+    With `continue_final_message`, the final assistant message belongs to the
+    answer and not to the prompt.
     """
-    if not chat:
+    if not is_chat:
         return str(body.get("prompt", ""))
     if body.get("continue_final_message"):
         body = body | {"messages": body["messages"][:-1]}
@@ -198,44 +205,44 @@
     )
 
 
-def _event(
+def _token_event(
     call: engine_batch.Call,
     body: dict,
-    chat: bool,
+    is_chat: bool,
     text: str,
-    number: int,
+    token_number: int,
     finish_reason: str | None,
 ) -> bytes:
     choice = {"index": 0, "finish_reason": finish_reason}
-    if chat:
+    if is_chat:
         choice["delta"] = {"role": "assistant", "content": text}
     else:
         choice["text"] = text
-    return _line(call, body, chat, [choice], number, None)
+    return _encode_event(call, body, is_chat, [choice], token_number, None)
 
 
-def _usage_event(call: engine_batch.Call, body: dict, chat: bool) -> bytes:
+def _usage_event(call: engine_batch.Call, body: dict, is_chat: bool) -> bytes:
     prompt_tokens = len(call.prompt) // 4
     usage = {
         "prompt_tokens": prompt_tokens,
-        "completion_tokens": call.made,
-        "total_tokens": prompt_tokens + call.made,
+        "completion_tokens": call.generated,
+        "total_tokens": prompt_tokens + call.generated,
         "prompt_tokens_details": {"cached_tokens": call.cached_tokens},
     }
-    return _line(call, body, chat, [], call.made, usage)
+    return _encode_event(call, body, is_chat, [], call.generated, usage)
 
 
-def _line(
+def _encode_event(
     call: engine_batch.Call,
     body: dict,
-    chat: bool,
+    is_chat: bool,
     choices: list,
-    number: int,
+    token_number: int,
     usage: dict | None,
 ) -> bytes:
     document = {
         "id": call.call_id,
-        "object": "chat.completion.chunk" if chat else "text_completion",
+        "object": "chat.completion.chunk" if is_chat else "text_completion",
         "created": 1_700_000_000,
         "model": body["model"],
         "choices": choices,
@@ -243,4 +250,4 @@
     if usage is not None:
         document["usage"] = usage
     text = json.dumps(document, separators=(",", ":"))
-    return f"id: {number}\ndata: {text}\n\n".encode()
+    return f"id: {token_number}\ndata: {text}\n\n".encode()
--- a/sesamecross/fakes/engine_batch.py
+++ b/sesamecross/fakes/engine_batch.py
@@ -1,8 +1,8 @@
-"""The fake engine's continuous batching, on a token clock.
+"""The fake engine's continuous batching, one token per call and step.
 
-Each step every running call gets one token. A step takes a base time and a
-little more for each call in the batch; a new call first pays for the prompt
-tokens that the prefix cache does not hold.
+In each step every running call gets one token. A step takes a base time plus a
+time per call in the batch. A new call first prefills the prompt tokens that the
+prefix cache does not hold.
 """
 
 from collections import OrderedDict
@@ -11,18 +11,18 @@
 import threading
 import time
 
-PREFIX_BLOCK = 64
+PREFIX_BLOCK_CHARS = 64
 
 
 class Call:
-    """One call in the batch; its tokens arrive on `tokens`."""
+    """One call in the batch; `tokens` gets its tokens, and None at its end."""
 
     __slots__ = (
         "call_id",
         "prompt",
         "digest",
-        "limit",
-        "made",
+        "max_tokens",
+        "generated",
         "priority",
         "tokens",
         "cancelled",
@@ -34,28 +34,28 @@
         self,
         call_id: str,
         prompt: str,
-        limit: int,
+        max_tokens: int,
         resume_after: int,
         priority: int,
     ):
         self.call_id = call_id
         self.prompt = prompt
         self.digest = hashlib.sha256(prompt.encode()).hexdigest()[:8]
-        self.limit = limit
-        self.made = resume_after
+        self.max_tokens = max_tokens
+        self.generated = resume_after
         self.priority = priority
         self.tokens: queue.SimpleQueue = queue.SimpleQueue()
         self.cancelled = False
         self.prefill_left_ms = 0.0
         self.cached_tokens = 0
 
-    def token(self, number: int) -> str:
-        """Returns the text of a token; it names the prompt it answers."""
+    def token_text(self, number: int) -> str:
+        """Returns a token's text, which begins with the prompt's digest."""
         return f"{self.digest}-{number} "
 
 
 class PrefixCache:
-    """Remembers prompt prefixes in blocks, the least recently used go."""
+    """Caches prompt prefixes in blocks; evicts the least recently used."""
 
     def __init__(self, blocks: int):
         self._limit = blocks
@@ -63,33 +63,35 @@
         self.events: list[tuple[int, str, str]] = []
         self._sequence = 0
 
-    def use(self, model: str, prompt: str) -> int:
-        """Returns the cached characters of a prompt, and caches all."""
+    def look_up_and_insert(self, model: str, prompt: str) -> int:
+        """Returns the number of cached characters; caches the whole prompt."""
         cached = 0
-        hit = True
-        for end in range(PREFIX_BLOCK, len(prompt) + 1, PREFIX_BLOCK):
+        is_prefix_cached = True
+        for end in range(
+            PREFIX_BLOCK_CHARS, len(prompt) + 1, PREFIX_BLOCK_CHARS
+        ):
             text = f"{model}\0{prompt[:end]}"
-            name = hashlib.sha256(text.encode()).hexdigest()[:16]
-            if name in self._blocks:
-                self._blocks.move_to_end(name)
-                cached = end if hit else cached
+            block_hash = hashlib.sha256(text.encode()).hexdigest()[:16]
+            if block_hash in self._blocks:
+                self._blocks.move_to_end(block_hash)
+                cached = end if is_prefix_cached else cached
                 continue
-            hit = False
-            self._blocks[name] = None
-            self._note("stored", name)
+            is_prefix_cached = False
+            self._blocks[block_hash] = None
+            self._record_event("stored", block_hash)
             if len(self._blocks) > self._limit:
-                gone, _ = self._blocks.popitem(last=False)
-                self._note("removed", gone)
+                evicted, _ = self._blocks.popitem(last=False)
+                self._record_event("removed", evicted)
         return cached
 
-    def _note(self, what: str, name: str) -> None:
+    def _record_event(self, kind: str, block_hash: str) -> None:
         self._sequence += 1
-        self.events.append((self._sequence, what, name))
+        self.events.append((self._sequence, kind, block_hash))
         del self.events[:-2000]
 
 
 class Batch:
-    """Runs calls by priority and then by arrival."""
+    """Runs calls in the order of priority, then of arrival."""
 
     def __init__(self, flags):
         self._limit = flags.batch
@@ -109,18 +111,18 @@
         self.stalled = False
 
     def start(self) -> None:
-        """Starts the token clock."""
+        """Starts the thread that runs the steps."""
         threading.Thread(target=self._run, daemon=True).start()
 
     def counts(self) -> tuple[int, int]:
-        """Returns how many calls run and how many wait."""
+        """Returns the numbers of running and of waiting calls."""
         with self._lock:
             return len(self._running), len(self._waiting)
 
     def submit(self, call: Call, model: str) -> None:
         """Queues a call."""
         with self._lock:
-            cached = self.cache.use(model, call.prompt)
+            cached = self.cache.look_up_and_insert(model, call.prompt)
             call.cached_tokens = cached // 4
             self.cached_tokens += cached // 4
             self.prompt_tokens += len(call.prompt) // 4
@@ -131,7 +133,7 @@
             self._lock.notify()
 
     def cancel(self, call_id: str) -> bool:
-        """Takes a call out of the batch; tells whether it was there."""
+        """Cancels a call; returns whether it was running or waiting."""
         with self._lock:
             for call in self._running + self._waiting:
                 if call.call_id == call_id:
@@ -161,25 +163,25 @@
             self._running.append(self._waiting.pop(0))
 
     def _step(self, step_ms: float) -> None:
-        # The prompt phase shares the step between all calls that are in it.
+        # Calls in prefill share the step's time equally.
         in_prefill = [c for c in self._running if c.prefill_left_ms > 0]
         for call in in_prefill:
             call.prefill_left_ms -= step_ms / len(in_prefill)
-        kept = []
+        unfinished = []
         for call in self._running:
             if call.cancelled:
                 call.tokens.put(None)
                 continue
             if call.prefill_left_ms <= 0:
-                self._make_token(call)
-            if call.made < call.limit:
-                kept.append(call)
+                self._generate_token(call)
+            if call.generated < call.max_tokens:
+                unfinished.append(call)
             else:
                 call.tokens.put(None)
-        self._running = kept
+        self._running = unfinished
         self._waiting = [c for c in self._waiting if not c.cancelled]
 
-    def _make_token(self, call: Call) -> None:
-        call.made += 1
+    def _generate_token(self, call: Call) -> None:
+        call.generated += 1
         self.tokens_made += 1
-        call.tokens.put((call.made, call.token(call.made)))
+        call.tokens.put((call.generated, call.token_text(call.generated)))
--- a/sesamecross/fakes/engine_memory.py
+++ b/sesamecross/fakes/engine_memory.py
@@ -1,7 +1,7 @@
 """The fake engine's accelerator memory and its orders.
 
-It refuses an overcommit, as the true engines would fail in one, and counts
-each refusal: a system that keeps its promise never causes one.
+It refuses a load that would overcommit the memory, where a real engine would
+fail, and counts each refusal: the system under test must never cause one.
 """
 
 import threading
@@ -9,11 +9,11 @@
 
 import urllib3
 
-ORDERS_REMEMBERED = 1000
+MAX_REMEMBERED_ORDERS = 1000
 
 
 class EngineMemory:
-    """What is resident, what is loading, and what orders did."""
+    """Resident and loading models and adapters, and the outcomes of orders."""
 
     def __init__(self, capacity_mib: int, checks_fencing: bool, store_url: str):
         self.capacity_mib = capacity_mib
@@ -26,32 +26,32 @@
         self._checks_fencing = checks_fencing
         self._store_url = store_url
         self._lock = threading.Lock()
-        # Name to (MiB, version, ready).
+        # (MiB, version, is ready) by name.
         self._held: dict[str, tuple[int, str, bool]] = {}
         self._pool = urllib3.PoolManager(maxsize=32, retries=False)
 
     def resident(self) -> list[str]:
-        """Returns the names that are ready, sorted."""
+        """Returns the names of what is loaded, sorted."""
         with self._lock:
             return sorted(n for n, held in self._held.items() if held[2])
 
     def used_mib(self) -> int:
-        """Returns the memory held by what is resident or loading."""
+        """Returns the memory used by what is resident or loading."""
         with self._lock:
-            return self._used()
+            return self._used_mib()
 
-    def _used(self) -> int:
+    def _used_mib(self) -> int:
         return sum(held[0] for held in self._held.values())
 
     def order(self, order: dict) -> str:
-        """Takes an order; returns its state. Loads go on by themselves."""
+        """Applies an order; returns its state. Loads go on in a thread."""
         with self._lock:
             order_id = order["order_id"]
             if order_id in self.orders:
                 return self.orders[order_id]
-            state = self._judge(order)
+            state = self._start_order(order)
             self.orders[order_id] = state
-            while len(self.orders) > ORDERS_REMEMBERED:
+            while len(self.orders) > MAX_REMEMBERED_ORDERS:
                 self.orders.pop(next(iter(self.orders)))
         if state == "loading":
             thread = threading.Thread(
@@ -60,7 +60,7 @@
             thread.start()
         return state
 
-    def _judge(self, order: dict) -> str:
+    def _start_order(self, order: dict) -> str:
         if self._checks_fencing and order["fence"] < self.fence:
             self.stale_fences_refused += 1
             return "refused"
@@ -71,11 +71,11 @@
             return "applied"
         if target in self._held:
             return "applied" if self._held[target][2] else "loading"
-        if self._used() + order["memory_mib"] > self.capacity_mib:
+        if self._used_mib() + order["memory_mib"] > self.capacity_mib:
             self.overcommit_attempts += 1
             return "refused"
         self._held[target] = (order["memory_mib"], order["version"], False)
-        self.peak_mib = max(self.peak_mib, self._used())
+        self.peak_mib = max(self.peak_mib, self._used_mib())
         return "loading"
 
     def _load(self, order: dict) -> None:
--- a/sesamecross/fakes/log.py
+++ b/sesamecross/fakes/log.py
@@ -1,7 +1,7 @@
 """A fake of the platform's append-only log.
 
-It keeps records in memory and can be told to be down, slow, forgetful
-(retention) or to lose answers after an append took effect.
+It keeps records in memory. Faults make it unavailable or slow, limit the
+retention, or lose the answers to appends that took effect.
 """
 
 import base64
@@ -14,14 +14,14 @@
 
 
 class LogServer(base.FakeServer):
-    """Serves any number of streams; faults apply to all of them."""
+    """Serves any number of streams; faults apply to all streams."""
 
     def __init__(self, name: str, listen: str, appends_per_second: int):
         super().__init__(name, listen, threads=64)
-        self._rate = appends_per_second
+        self._max_appends_per_second = appends_per_second
         self._condition = threading.Condition()
         self._records: dict[str, list[bytes]] = {}
-        self._first: dict[str, int] = {}
+        self._first_offsets: dict[str, int] = {}
         self._window: tuple[int, int] = (0, 0)
         self._faults = {
             "outage": False,
@@ -31,9 +31,9 @@
         }
         self._stats = {"appends": 0, "append_bytes": 0, "reads": 0}
         self._stats |= {"read_bytes": 0, "throttled": 0, "lost_answers": 0}
-        records = "/streams/([a-z0-9-]+)/records"
-        self.route("POST", records, self._append)
-        self.route("GET", records, self._read)
+        records_path = "/streams/([a-z0-9-]+)/records"
+        self.route("POST", records_path, self._append)
+        self.route("GET", records_path, self._read)
         self.route("POST", "/fake/faults", self._set_faults)
         self.route("GET", "/fake/stats", self._get_stats)
 
@@ -43,12 +43,12 @@
             return base.Response({"error": "outage"}, 503)
         stream = request.match.group(1)
         with self._condition:
-            if self._throttled():
+            if self._is_throttled():
                 self._stats["throttled"] += 1
                 return base.Response({"error": "too many appends"}, 429)
-            kept = self._records.setdefault(stream, [])
-            offset = self._first.setdefault(stream, 0) + len(kept)
-            kept.append(body)
+            retained = self._records.setdefault(stream, [])
+            offset = self._first_offsets.setdefault(stream, 0) + len(retained)
+            retained.append(body)
             self._expire(stream)
             self._stats["appends"] += 1
             self._stats["append_bytes"] += len(body)
@@ -59,19 +59,19 @@
                 return base.Response({"error": "answer lost"}, 503)
         return base.Response({"offset": offset})
 
-    def _throttled(self) -> bool:
+    def _is_throttled(self) -> bool:
         second = int(time.monotonic())
-        start, count = self._window
-        count = count + 1 if start == second else 1
+        window_s, count = self._window
+        count = count + 1 if window_s == second else 1
         self._window = (second, count)
-        return count > self._rate
+        return count > self._max_appends_per_second
 
     def _expire(self, stream: str) -> None:
-        kept = self._records[stream]
-        surplus = len(kept) - self._faults["retention"]
+        retained = self._records[stream]
+        surplus = len(retained) - self._faults["retention"]
         if surplus > 0:
-            del kept[:surplus]
-            self._first[stream] += surplus
+            del retained[:surplus]
+            self._first_offsets[stream] += surplus
 
     def _is_down(self) -> bool:
         if self._faults["slow_ms"]:
@@ -82,36 +82,41 @@
         if self._is_down():
             return base.Response({"error": "outage"}, 503)
         query = request.query()
-        start = int(query.get("from", "0"))
+        start_offset = int(query.get("from", "0"))
         limit = int(query.get("limit", "500"))
         wait_s = int(query.get("wait_ms", "0")) / 1000
         stream = request.match.group(1)
         with self._condition:
             self._condition.wait_for(
-                lambda: self._next(stream) > start or self._faults["outage"],
+                lambda: (
+                    self._next_offset(stream) > start_offset
+                    or self._faults["outage"]
+                ),
                 timeout=wait_s,
             )
             if self._faults["outage"]:
                 return base.Response({"error": "outage"}, 503)
-            return self._page(stream, start, limit)
-
-    def _next(self, stream: str) -> int:
-        kept = self._records.get(stream, [])
-        return self._first.get(stream, 0) + len(kept)
-
-    def _page(self, stream: str, start: int, limit: int) -> base.Response:
-        first = self._first.get(stream, 0)
-        kept = self._records.get(stream, [])
-        begin = max(start, first) - first
-        page = kept[begin : begin + limit]
+            return self._page_response(stream, start_offset, limit)
+
+    def _next_offset(self, stream: str) -> int:
+        retained = self._records.get(stream, [])
+        return self._first_offsets.get(stream, 0) + len(retained)
+
+    def _page_response(
+        self, stream: str, start_offset: int, limit: int
+    ) -> base.Response:
+        first = self._first_offsets.get(stream, 0)
+        retained = self._records.get(stream, [])
+        begin_index = max(start_offset, first) - first
+        page = retained[begin_index : begin_index + limit]
         self._stats["reads"] += 1
         self._stats["read_bytes"] += sum(len(record) for record in page)
         body = {
             "first": first,
-            "next": first + len(kept),
+            "next": first + len(retained),
             "records": [base64.b64encode(record).decode() for record in page],
         }
-        return base.Response(body, 410 if start < first else 200)
+        return base.Response(body, 410 if start_offset < first else 200)
 
     def _set_faults(self, request: base.Request) -> base.Response:
         with self._condition:
@@ -123,5 +128,5 @@
 
     def _get_stats(self, _request: base.Request) -> base.Response:
         with self._condition:
-            streams = {name: self._next(name) for name in self._records}
+            streams = {name: self._next_offset(name) for name in self._records}
             return base.Response(self._stats | {"streams": streams})
--- a/sesamecross/fakes/placement_simulation.py
+++ b/sesamecross/fakes/placement_simulation.py
@@ -1,9 +1,10 @@
-"""Lets the giver of orders work on one stand-in engine, on a clock of its own.
+"""Runs the placement controller on one simulated engine, in virtual time.
 
-Why: what goes wrong between the books and an engine depends on the order of
-events to a tenth of a second: a report made before an answer, an order that
-arrives after the next one, a request that outlasts an unload. Here the real
-planner, desk and books give orders, and the test decides what becomes of each.
+Differences between the controller's inventory and the engine depend on the
+order of events within a tenth of a second: a report made before an answer, an
+order that arrives after the next one, a request that outlasts an unload. Here
+the real planner, controller and inventory give orders, and the test decides how
+each of them is delivered.
 """
 
 import asyncio
@@ -24,20 +25,20 @@
 ADAPTERS = 4
 MODEL_MB = 40.0
 ADAPTER_MB = 1.0
-# Two models and two adapters fit.
-ROOM_MB = 2 * MODEL_MB + 2 * ADAPTER_MB
+# Memory for two models and two adapters.
+WEIGHTS_MB = 2 * MODEL_MB + 2 * ADAPTER_MB
 ADAPTER_SLOTS = 2
 LOAD_S = 0.5
 TICK_S = 0.05
-# Engines describe themselves as they were up to this long ago.
+# The largest age of an engine's report.
 REPORT_LAG_S = 0.3
-ROOM = simulated_engine.EngineCapacity(
-    dict.fromkeys(MODELS, MODEL_MB), ROOM_MB, ADAPTER_MB, ADAPTER_SLOTS
+CAPACITY = simulated_engine.EngineCapacity(
+    dict.fromkeys(MODELS, MODEL_MB), WEIGHTS_MB, ADAPTER_MB, ADAPTER_SLOTS
 )
 SPEC = serving.EngineSpec(
     16,
     100_000,
-    ROOM_MB,
+    WEIGHTS_MB,
     ADAPTER_SLOTS,
     4.0,
     5,
@@ -54,27 +55,27 @@
     {SERVICE: serving.Service(SERVICE, "/health", 100, SPEC)},
     serving.CallerLimits(),
 )
-_TURNS_OF_THE_LOOP = 4
+_LOOP_TURNS_PER_TICK = 4
 
 
 class Delivery(enum.Enum):
-    """What becomes of a call to the engine.
+    """How an order is delivered to the engine.
 
     Attributes:
       ANSWERED: It arrives once and is answered.
-      LATE: It is not answered, and arrives when the test says so, or never.
-      ANSWER_LOST: It arrives, and its answer does not.
-      DOUBLED: It arrives twice; the first answer comes back.
+      DELAYED: It is not answered, and arrives when the test says so, or never.
+      ANSWER_LOST: It arrives, but its answer is lost.
+      DUPLICATED: It arrives twice; the first answer comes back.
     """
 
     ANSWERED = "answered"
-    LATE = "late"
+    DELAYED = "delayed"
     ANSWER_LOST = "answer lost"
-    DOUBLED = "doubled"
+    DUPLICATED = "duplicated"
 
 
-class _Lease:
-    """Is held for ever."""
+class _StubLease:
+    """A lease that never expires."""
 
     may_order = True
     holds = True
@@ -83,187 +84,190 @@
         self.fence = fence
 
 
-class _Mesh:
-    """Nobody else is there."""
+class _StubMesh:
+    """A mesh without other members."""
 
     me = None
     lease = None
 
     def __init__(self) -> None:
-        self.roster = _Roster()
+        self.roster = _StubRoster()
 
     def add_listener(self, listener) -> None:
-        """Nothing is heard."""
+        """Does nothing: no message arrives."""
 
     def next_number(self) -> int:
         return 1
 
     def broadcast(self, message) -> None:
-        """Nobody is told."""
+        """Does nothing: there is no recipient."""
 
 
-class _Roster:
-    """Knows this instance only."""
+class _StubRoster:
+    """A roster of this instance only."""
 
     me = samples.INSTANCE
 
 
 @dataclasses.dataclass(slots=True)
-class _Answered:
-    """An order that the engine answered, for tests to look at."""
+class _AnsweredOrder:
+    """An order that the engine answered, and its answer."""
 
     order: serving.EngineOrder
     answer: serving.OrderAnswer
 
 
 class Simulation:
-    """An engine, its books, and the clock.
+    """An engine, the controller of its placement, and the clock.
 
     Attributes:
-      engine: What the engine really holds.
-      fates: What becomes of the next orders; all others are answered.
-      report_age_s: How old the engine's word on itself is.
-      late: Orders that may still arrive.
-      wanted: Adapters and models that requests wait for.
-      answered: Orders in the order in which the engine answered.
+      engine: The true state of the engine.
+      deliveries: How the next orders are delivered; all others are answered.
+      report_age_s: The age of the engine's reports.
+      delayed_orders: Orders that may still arrive.
+      requested_targets: Models and adapters that requests wait for.
+      answered_orders: Orders in the order in which the engine answered.
     """
 
     def __init__(self, models: tuple[str, ...] = ("m",)) -> None:
-        self.engine = simulated_engine.SimulatedEngine(ROOM, models)
+        self.engine = simulated_engine.SimulatedEngine(CAPACITY, models)
         self.deliveries: collections.deque[Delivery] = collections.deque()
         self.report_age_s = 0.0
         self.delayed_orders: list[simulated_engine.Order] = []
         self.requested_targets: set[str] = set()
-        self.answered: list[_Answered] = []
+        self.answered_orders: list[_AnsweredOrder] = []
         self.metrics = metrics_lib.Metrics()
         self.state = state_lib.State(samples.INSTANCE)
         self.state.offer_configuration(CONFIGURATION)
         self._now_s = 1000.0
         self._born_ms = 1
         self._fence = 0
-        self._loaded_at_s: float | None = None
+        self._model_order_ends_s: float | None = None
         self._snapshots: collections.deque = collections.deque()
         self._loop = asyncio.new_event_loop()
         self._loop.time = lambda: self._now_s
-        self.controller = self._new_desk()
-        self._register()
+        self.controller = self._new_controller()
+        self._publish_entry()
 
     def close(self) -> None:
-        """Ends the loop."""
+        """Stops the controller and closes the event loop."""
         self._loop.run_until_complete(self.controller.stop())
         self._loop.close()
 
-    # -- what the desk calls ---------------------------------------------
+    # -- what the controller calls ---------------------------------------
 
     async def report(
         self, _upstream: serving.Upstream
     ) -> serving.EngineReport | None:
-        """Answers as the engine was some time ago."""
+        """Returns the engine's report as of `report_age_s` ago."""
         made_s = self._now_s - self.report_age_s
-        found = self._snapshots[0][1]
+        reported = self._snapshots[0][1]
         for at_s, report in self._snapshots:
             if at_s <= made_s:
-                found = report
-        return found
+                reported = report
+        return reported
 
     async def order(self, order: serving.EngineOrder) -> serving.OrderAnswer:
-        """Lets an order arrive, late, twice or not at all."""
+        """Delivers an order as the next of `deliveries` says."""
         target = f"{order.model}/{order.adapter}".rstrip("/")
-        sent = simulated_engine.Order(
+        delivered = simulated_engine.Order(
             order.loads, target, order.expected_order_count
         )
-        fate = (
+        delivery = (
             self.deliveries.popleft() if self.deliveries else Delivery.ANSWERED
         )
-        if fate is Delivery.LATE:
-            self.delayed_orders.append(sent)
+        if delivery is Delivery.DELAYED:
+            self.delayed_orders.append(delivered)
             return serving.OrderAnswer.UNKNOWN
-        answer = self._arrive(sent)
-        if fate is Delivery.DOUBLED:
-            self._arrive(sent)
-        if fate is Delivery.ANSWER_LOST:
+        answer = self._deliver(delivered)
+        if delivery is Delivery.DUPLICATED:
+            self._deliver(delivered)
+        if delivery is Delivery.ANSWER_LOST:
             return serving.OrderAnswer.UNKNOWN
-        self.answered.append(_Answered(order, answer))
+        self.answered_orders.append(_AnsweredOrder(order, answer))
         return answer
 
-    def _arrive(self, order: simulated_engine.Order) -> serving.OrderAnswer:
+    def _deliver(self, order: simulated_engine.Order) -> serving.OrderAnswer:
         was_busy = self.engine.is_busy
         answer = self.engine.apply(order)
         if self.engine.is_busy and not was_busy:
-            self._loaded_at_s = self._now_s + LOAD_S
-        self._remember()
+            self._model_order_ends_s = self._now_s + LOAD_S
+        self._record_snapshot()
         return answer
 
-    # -- what the test does ----------------------------------------------
+    # -- what the test calls ---------------------------------------------
 
     def arrives_late(self) -> None:
-        """Lets the oldest order on its way arrive after all."""
+        """Delivers the oldest delayed order."""
         if self.delayed_orders:
-            self._arrive(self.delayed_orders.pop(0))
+            self._deliver(self.delayed_orders.pop(0))
 
     def begin_request(self, target: str, is_reported: bool = True) -> None:
-        """A request begins to run; the giver of orders hears of it or not."""
+        """Begins a request, and reports it to the controller or not."""
         if not self.engine.can_serve(target):
             return
         self.engine.begin_request(target)
         if is_reported:
-            self.tell_uses()
+            self.publish_running_requests()
 
     def end_request(self, target: str) -> None:
-        """A request ends, and everybody hears of it."""
+        """Ends a request, and reports it to the controller."""
         if self.engine.running_requests.get(target):
             self.engine.end_request(target)
-            self.tell_uses()
-            self._remember()
+            self.publish_running_requests()
+            self._record_snapshot()
 
-    def tell_uses(self) -> None:
-        """The giver of orders hears which requests run."""
+    def publish_running_requests(self) -> None:
+        """Reports the running requests to the controller."""
         self.state.fleet_uses = {
             (ENGINE, target): count
             for target, count in self.engine.running_requests.items()
         }
 
     def restart(self) -> None:
-        """The engine begins a new life at its address, empty.
+        """Restarts the engine at the same address, empty.
 
-        Orders that are still on their way were meant for the one before.
+        Drops delayed orders, which were sent to the previous incarnation.
         """
         self._born_ms += 1
-        self.engine = simulated_engine.SimulatedEngine(ROOM, ())
+        self.engine = simulated_engine.SimulatedEngine(CAPACITY, ())
         self.delayed_orders.clear()
-        self._loaded_at_s = None
+        self._model_order_ends_s = None
         self._snapshots.clear()
-        self.tell_uses()
-        self._register()
+        self.publish_running_requests()
+        self._publish_entry()
 
     def change_holder(self) -> None:
-        """Another instance gives orders from now on, with empty books."""
+        """Gives the lease to another instance, whose inventory is empty."""
         self._loop.run_until_complete(self.controller.stop())
-        self.controller = self._new_desk()
+        self.controller = self._new_controller()
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Advances the virtual time, tick by tick."""
         for _ in range(max(1, round(seconds / TICK_S))):
             self._now_s += TICK_S
             self._loop.run_until_complete(self._step())
 
     async def _step(self) -> None:
         self.engine.complete_adapters()
-        if self._loaded_at_s is not None and self._now_s >= self._loaded_at_s:
+        if (
+            self._model_order_ends_s is not None
+            and self._now_s >= self._model_order_ends_s
+        ):
             self.engine.complete()
             if not self.engine.is_busy:
-                self._loaded_at_s = None
-                self._register()
-        self._remember()
+                self._model_order_ends_s = None
+                self._publish_entry()
+        self._record_snapshot()
         for target in sorted(self.requested_targets):
             upstream = ENGINE if "/" in target else ""
             self.controller.want(SERVICE, target, upstream)
         self.controller._tick(self._now_s)
-        for _ in range(_TURNS_OF_THE_LOOP):
+        for _ in range(_LOOP_TURNS_PER_TICK):
             await asyncio.sleep(0)
 
-    def _register(self) -> None:
-        """The engine's entry tells what it holds, and nothing of orders."""
+    def _publish_entry(self) -> None:
+        """Updates the directory entry, which lists models but not orders."""
         entry = serving.Upstream(
             ENGINE,
             SERVICE,
@@ -275,17 +279,17 @@
             self.engine.held(),
         )
         self.state.directory.update_entry(entry, self._now_s)
-        self._remember()
+        self._record_snapshot()
 
-    def _remember(self) -> None:
+    def _record_snapshot(self) -> None:
         report = self.engine.report(self._born_ms)
         self._snapshots.append((self._now_s, report))
         oldest_s = self._now_s - REPORT_LAG_S
         while len(self._snapshots) > 1 and self._snapshots[1][0] <= oldest_s:
             self._snapshots.popleft()
 
-    def _new_desk(self) -> placement_controller.PlacementController:
+    def _new_controller(self) -> placement_controller.PlacementController:
         self._fence += 1
         return placement_controller.PlacementController(
-            self.state, _Mesh(), _Lease(self._fence), self, self.metrics
+            self.state, _StubMesh(), _StubLease(self._fence), self, self.metrics
         )
--- a/sesamecross/fakes/platform_caller.py
+++ b/sesamecross/fakes/platform_caller.py
@@ -1,8 +1,8 @@
-"""A stand-in for a caller of the platform, one step at a time.
+"""A fake caller of the platform, driven step by step.
 
-Why: a test stops a call at a chosen point (half the body sent, half the
-stream read, nothing read), lets something happen, and goes on. What the
-caller has got in the end is one record: a whole answer, or what went wrong.
+A test stops a call at a chosen point (half the body sent, half the stream read,
+nothing read), triggers an event, and continues. The result is one record: a
+complete answer, or the error.
 """
 
 from collections.abc import Iterator
@@ -17,20 +17,20 @@
 
 HOST = "reports.example"
 MODEL = "trail-writer"
-# Only a guard against hanging.
-HANG_S = 60.0
+# Only ends tests that hang.
+HANG_TIMEOUT_S = 60.0
 DEADLINE_MS = 100_000
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
-_numbers = itertools.count(1)
+_request_numbers = itertools.count(1)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """What a caller has got.
+    """What a caller received.
 
     Attributes:
-      error: Why the answer is not whole; empty where it is.
+      error: Why the answer is incomplete; empty for a complete one.
     """
 
     status: int
@@ -40,12 +40,12 @@
 
 
 def request_id() -> str:
-    """Returns an id that no other request bears."""
-    return f"{os.getpid():08x}{next(_numbers):08x}"
+    """Returns a unique request id."""
+    return f"{os.getpid():08x}{next(_request_numbers):08x}"
 
 
 class Call:
-    """One request on a connection of its own, or on a kept one."""
+    """One request on a new connection, or on a reused one."""
 
     def __init__(
         self,
@@ -54,13 +54,13 @@
         reused: http.client.HTTPConnection | None = None,
         receive_buffer: int | None = None,
     ):
-        """Opens the connection; nothing is sent.
+        """Opens the connection; sends nothing.
 
         Args:
           front: The gateway's address.
-          path: Decides the route.
-          kept: A connection with an answer behind it.
-          receive_buffer: Bytes that the caller's machine takes unread.
+          path: Selects the route.
+          reused: A connection on which a request was answered before.
+          receive_buffer: The socket's receive buffer, in bytes.
         """
         self.request_id = request_id()
         self.body = f"body of {self.request_id}".encode()
@@ -68,31 +68,35 @@
         self._front = front
         self.connection = reused or self._connect(receive_buffer)
         self._response: http.client.HTTPResponse | None = None
-        self._read = b""
+        self._received = b""
 
     def _connect(
         self, receive_buffer: int | None
     ) -> http.client.HTTPConnection:
-        connection = http.client.HTTPConnection(*self._front, timeout=HANG_S)
-        # A closed connection must show, and not be opened again unseen.
+        connection = http.client.HTTPConnection(
+            *self._front, timeout=HANG_TIMEOUT_S
+        )
+        # A closed connection must raise an error, not be reopened silently.
         connection.auto_open = 0
         sock = socket.socket()
         if receive_buffer is not None:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
-        sock.settimeout(HANG_S)
-        # Who is refused here has no connection, and is told so as a caller is
-        # whose connection ends: when it asks for its answer.
+        sock.settimeout(HANG_TIMEOUT_S)
+        # A refused connection shows when the answer is read, like one that is
+        # closed later.
         with contextlib.suppress(OSError):
             sock.connect(self._front)
         connection.sock = sock
         return connection
 
-    def send_head(self, for_model: bool = False, waits: bool = False) -> None:
+    def send_head(
+        self, for_model: bool = False, wait_for_continue: bool = False
+    ) -> None:
         """Sends the head.
 
         Args:
-          for_model: The request is one to a model.
-          waits: Waits until the gateway has read the head.
+          for_model: Whether the request is for a model.
+          wait_for_continue: Whether to wait until the gateway has read it.
         """
         send = self.connection.putheader
         self.connection.putrequest(
@@ -106,63 +110,63 @@
             send("Model", MODEL)
             send("Token-Usage", "60,50")
             send("Prompt-Prefix", f"5c1e07a2:40,{self.request_id}:20")
-        if waits:
+        if wait_for_continue:
             send("Expect", "100-continue")
         self.connection.endheaders()
-        if waits:
-            self._take_continue()
+        if wait_for_continue:
+            self._read_continue()
 
-    def _take_continue(self) -> None:
-        taken = b""
-        while len(taken) < len(_CONTINUE):
-            piece = self.connection.sock.recv(len(_CONTINUE) - len(taken))
-            if not piece:
-                raise ConnectionError("closed before the body was asked for")
-            taken += piece
+    def _read_continue(self) -> None:
+        received = b""
+        while len(received) < len(_CONTINUE):
+            chunk = self.connection.sock.recv(len(_CONTINUE) - len(received))
+            if not chunk:
+                raise ConnectionError("closed before 100 Continue")
+            received += chunk
 
     def send(self, for_model: bool = False) -> None:
-        """Sends the whole request."""
-        with self._sending():
+        """Sends the complete request."""
+        with self._ignore_send_errors():
             self.send_head(for_model)
             self.connection.send(self.body)
 
     def send_half(self) -> None:
-        """Sends the head and half the body; the head is read by then."""
-        self.send_head(waits=True)
+        """Sends the head, waits until it is read, and sends half the body."""
+        self.send_head(wait_for_continue=True)
         self.connection.send(self.body[: len(self.body) // 2])
 
     def send_rest(self) -> None:
         """Sends the other half of the body."""
-        with self._sending():
+        with self._ignore_send_errors():
             self.connection.send(self.body[len(self.body) // 2 :])
 
     @contextlib.contextmanager
-    def _sending(self) -> Iterator[None]:
-        # A connection that was closed meanwhile may still bear an answer:
-        # what reading brings is told, and not that sending failed.
+    def _ignore_send_errors(self) -> Iterator[None]:
+        # A connection that was closed meanwhile may still hold an answer: the
+        # result is that of reading, not that of sending.
         with contextlib.suppress(OSError, http.client.HTTPException):
             yield
 
     def read_first_events(self) -> bool:
-        """Reads what the upstream sends of a stream before it is let go.
+        """Reads the events that the upstream sends before it holds the rest.
 
         Returns:
-          Whether that is there: False where the call was refused.
+          Whether they arrived; False for a call that was refused.
         """
         first = platform_upstream.first_events(self.request_id)
         self._response = self.connection.getresponse()
-        self._read = self._response.read(len(first))
-        return self._read == first
+        self._received = self._response.read(len(first))
+        return self._received == first
 
     def finish(self) -> Answer:
-        """Reads the rest, up to the answer's proper end."""
+        """Reads the rest of the answer; returns the result."""
         try:
             if self._response is None:
                 self._response = self.connection.getresponse()
-            self._read += self._response.read()
+            self._received += self._response.read()
         except http.client.IncompleteRead as error:
-            self._read += error.partial
-            return self._answer(f"cut after {len(self._read)} bytes")
+            self._received += error.partial
+            return self._answer(f"cut after {len(self._received)} bytes")
         except (OSError, http.client.HTTPException) as error:
             return self._answer(f"{type(error).__name__}: {error}")
         return self._answer("")
@@ -171,7 +175,7 @@
         if self._response is None:
             return Answer(0, "", b"", error)
         signature = self._response.getheader("Response-Signature", "")
-        return Answer(self._response.status, signature, self._read, error)
+        return Answer(self._response.status, signature, self._received, error)
 
     def close(self) -> None:
         """Closes the connection."""
--- a/sesamecross/fakes/platform_instance.py
+++ b/sesamecross/fakes/platform_instance.py
@@ -1,9 +1,8 @@
-"""A stand-in for the platform's part of one instance: settings and signals.
+"""A fake of what the platform does on one instance: settings and signals.
 
-Why: the platform writes a settings file, starts the gateway, asks whether it
-is ready, and sends signals. Tests do the same to a real process, and learn
-from its log lines what it has taken notice of, so that they wait for events
-and never for a time.
+The platform writes a settings file, starts the gateway, polls its readiness and
+sends signals. Tests do the same with a real process, and learn from its log
+lines what it has noticed, so that they wait for events instead of a fixed time.
 """
 
 from collections.abc import Callable
@@ -22,31 +21,31 @@
 from sesamecross.platform import settings
 
 ZONE = "west-a"
-# Only a guard against hanging: all that is waited for comes at once, or
-# within the gateway's own few seconds.
-HANG_S = 30.0
-# A planned stop may take this long. Longer than any test holds a request.
+# Only ends tests that hang: everything that is waited for comes at once, or
+# within a few seconds that the gateway takes.
+HANG_TIMEOUT_S = 30.0
+# The most that a planned stop may take; longer than any test holds a request.
 GRACE_S = 60.0
 _FRONT_PORT = 8149
 _READY_PORT = 8141
 _INTERNAL_PORTS = [7380, 7395]
-_PAUSE_S = 0.01
+_POLL_INTERVAL_S = 0.01
 
-_hosts = itertools.count()
+_host_numbers = itertools.count()
 
 
 class ProcessEnded(Exception):
-    """The process ended while something was expected of it."""
+    """The process ended before an expected event."""
 
 
-def own_host() -> str:
-    """Returns a loopback address of an instance's own.
+def unused_loopback_host() -> str:
+    """Returns a loopback address that no other instance uses.
 
-    The port of the metrics is the same on all instances, so each needs an
-    address; those of tests that run beside this one begin elsewhere.
+    All instances use the same port for metrics, so each needs an address.
+    Tests that run in parallel begin at different addresses, by process id.
     """
     while True:
-        number = os.getpid() * 16 + next(_hosts)
+        number = os.getpid() * 16 + next(_host_numbers)
         parts = (number >> 16) % 254 + 1, (number >> 8) % 256, number % 256
         host = "127.{}.{}.{}".format(*parts)
         with socket.socket() as probe:
@@ -61,16 +60,16 @@
 class PlatformInstance:
     """One gateway process and its settings file."""
 
-    def __init__(self, work: pathlib.Path, store_address: str):
-        self._host = own_host()
-        self._path = work / "node.toml"
+    def __init__(self, directory: pathlib.Path, store_address: str):
+        self._host = unused_loopback_host()
+        self._path = directory / "node.toml"
         self._store_address = store_address
-        self._log_path = work / "gateway.log"
+        self._log_path = directory / "gateway.log"
         self._process: processes.Process | None = None
 
     @property
     def front(self) -> tuple[str, int]:
-        """Where callers reach it."""
+        """The address for callers."""
         return self._host, _FRONT_PORT
 
     # -- settings --------------------------------------------------------
@@ -78,7 +77,7 @@
     def settings_text(
         self, drain_ms: int = 2500, front_port: int = _FRONT_PORT
     ) -> str:
-        """Returns a settings file, in the platform's words."""
+        """Returns the text of a settings file in the platform's format."""
         host = self._host
         return tomli_w.dumps(
             {
@@ -111,14 +110,14 @@
         )
 
     def write_settings(self, text: str) -> None:
-        """Writes the file in place, as who is interrupted midway does."""
+        """Overwrites the file in place, so that a partial write is visible."""
         self._path.write_text(text, encoding="utf-8")
 
     def replace_settings(self, text: str) -> None:
-        """Puts a whole new file in the old one's place."""
-        beside = self._path.with_suffix(".new")
-        beside.write_text(text, encoding="utf-8")
-        os.replace(beside, self._path)
+        """Replaces the file atomically."""
+        temporary = self._path.with_suffix(".new")
+        temporary.write_text(text, encoding="utf-8")
+        os.replace(temporary, self._path)
 
     # -- the process -----------------------------------------------------
 
@@ -133,9 +132,9 @@
         )
 
     def wait_ready(self) -> None:
-        """Waits until it takes callers."""
+        """Waits until it is ready for callers."""
         ready = f"http://{self._host}:{_READY_PORT}/v1/ready"
-        processes.wait_http(ready, HANG_S)
+        processes.wait_http(ready, HANG_TIMEOUT_S)
 
     def signal(self, number: signal.Signals) -> None:
         """Sends a signal, unless the process has ended."""
@@ -143,66 +142,76 @@
 
     @property
     def is_running(self) -> bool:
-        """Tells whether the process has not ended."""
+        """Whether the process is running."""
         return self._process is not None and self._process.is_running()
 
     def exit_code(self) -> int | None:
-        """Returns the exit code; a signal's is 128 and its number.
+        """Returns the exit code: 128 plus the number for a signal.
 
-        None where the process has not ended in time.
+        None if the process has not ended within `HANG_TIMEOUT_S`.
         """
-        code = self._process.wait(HANG_S)
-        return 128 - code if code is not None and code < 0 else code
+        returncode = self._process.wait(HANG_TIMEOUT_S)
+        return (
+            128 - returncode
+            if returncode is not None and returncode < 0
+            else returncode
+        )
 
     def kill(self) -> None:
-        """Ends what is still running."""
+        """Kills the process if it is running."""
         if self._process is not None:
             self._process.kill()
             self._process.wait()
 
     # -- its log ---------------------------------------------------------
 
-    def lines(self, beginning: str = "", **fields: Any) -> list[dict[str, Any]]:
-        """Returns the log lines whose event begins so and bears the fields."""
+    def log_lines(
+        self, prefix: str = "", **fields: Any
+    ) -> list[dict[str, Any]]:
+        """Returns the log lines with this event prefix and these fields."""
         found = []
         for text in self._log_path.read_text(errors="replace").splitlines():
             try:
                 line = json.loads(text)
             except ValueError:
-                # The line's end is still to be written.
+                # The line is not fully written yet.
                 continue
-            if str(line.get("event", "")).startswith(beginning) and all(
+            if str(line.get("event", "")).startswith(prefix) and all(
                 line.get(name) == value for name, value in fields.items()
             ):
                 found.append(line)
         return found
 
-    def wait_log_line(
-        self, beginning: str, count: int = 1, **fields: Any
-    ) -> None:
-        """Waits until that many log lines are there.
+    def wait_log_line(self, prefix: str, count: int = 1, **fields: Any) -> None:
+        """Waits until there are `count` such log lines.
 
         Raises:
-          Ended: The process ended without them.
+          ProcessEnded: The process ended before them.
         """
 
         def is_there() -> bool:
-            return len(self.lines(beginning, **fields)) >= count
+            return len(self.log_lines(prefix, **fields)) >= count
 
-        self._wait(is_there, f"{count} of {beginning!r} {fields}")
+        self._wait_for(is_there, f"{count} of {prefix!r} {fields}")
 
     def wait_new_log_line(
-        self, beginning: str, act: Callable[[], None], **fields: Any
+        self, prefix: str, act: Callable[[], None], **fields: Any
     ) -> None:
-        """Acts, and waits for one log line more than there was before."""
-        before = len(self.lines(beginning, **fields))
+        """Calls `act`, and waits for one more such log line than before."""
+        before = len(self.log_lines(prefix, **fields))
         act()
-        self.wait_log_line(beginning, before + 1, **fields)
+        self.wait_log_line(prefix, before + 1, **fields)
 
-    def _wait(self, holds: Callable[[], bool], what: str) -> None:
+    def _wait_for(
+        self, condition: Callable[[], bool], description: str
+    ) -> None:
         def is_over() -> bool:
-            return not self.is_running or holds()
+            return not self.is_running or condition()
 
-        processes.wait_for(is_over, what, HANG_S, _PAUSE_S)
-        if not holds():
-            raise ProcessEnded(f"exit code {self.exit_code()} before {what}")
+        processes.wait_for(
+            is_over, description, HANG_TIMEOUT_S, _POLL_INTERVAL_S
+        )
+        if not condition():
+            raise ProcessEnded(
+                f"exit code {self.exit_code()} before {description}"
+            )
--- a/sesamecross/fakes/platform_site.py
+++ b/sesamecross/fakes/platform_site.py
@@ -1,8 +1,8 @@
-"""A small site of the platform: a store, upstreams, one gateway as a process.
+"""A small site of the platform: a store, upstreams and one gateway process.
 
-Why: a test of what a gateway does while something planned happens needs
-upstreams whose answers it holds, others that answer at once, and operators'
-configurations in the platform's words.
+Tests of a gateway during planned events need upstreams whose answers they hold,
+others that answer at once, and operators' configurations in the platform's
+format.
 """
 
 import concurrent.futures
@@ -15,7 +15,7 @@
 from sesamecross.fakes import platform_upstream
 
 WRITERS, LEDGER, DESK, ARCHIVE = "writers", "ledger", "desk", "archive"
-# Routes by the service that they lead to; one path for each.
+# A path on the route of each service.
 PATHS = {
     WRITERS: "/reports/today",
     LEDGER: "/passes/new",
@@ -28,10 +28,12 @@
     DESK: "unsafe",
     ARCHIVE: "unsafe",
 }
-# Their answers are held until the test lets go; the others answer at once.
+# The answers of these are held until the test releases them; the other
+# services answer at once.
 HELD_SERVICES = (WRITERS, LEDGER)
-# Longer than any test: no request may end by its time. Requests to the desk
-# come while a process stops, and would be refused if they could outlast it.
+# Longer than any test, so that no request times out. Requests to the desk
+# arrive while a process stops, and would be refused if their timeout were
+# longer than the stop may take.
 TIMEOUTS_MS = {
     WRITERS: 120_000,
     LEDGER: 120_000,
@@ -39,17 +41,17 @@
     ARCHIVE: 120_000,
 }
 IDLE_MS = 120_000
-# Versions go up in uneven steps.
+# Configuration versions may skip numbers.
 VERSION_STEP = 7
 ANSWER_BYTES = 200
-# More than the kernel holds for a caller whose machine takes 4 KB unread.
+# More than the kernel buffers for a caller with a receive buffer of 4 KB.
 ARCHIVE_BYTES = 6 * 1024 * 1024
 
 
 def route(
     service: str, timeout_share: float, path_prefix: str = ""
 ) -> dict[str, Any]:
-    """Returns a route to a service, by its own path or another one."""
+    """Returns a route to a service, on its usual path or another prefix."""
     return {
         "name": f"route {path_prefix or service}",
         "hostname": platform_caller.HOST,
@@ -72,7 +74,7 @@
     without: tuple[str, ...] = (),
     more_routes: int = 0,
 ) -> dict[str, Any]:
-    """Returns a configuration in full, as operators write it."""
+    """Returns a complete configuration, as operators write it."""
     routes = [route(one, timeout_share) for one in PATHS if one not in without]
     routes.extend(
         route(DESK, timeout_share, f"/more/{number}/")
@@ -113,54 +115,54 @@
 
 
 class PlatformSite:
-    """A store, upstreams, and one gateway as a process."""
+    """A store, upstreams and one gateway process."""
 
-    def __init__(self, work: pathlib.Path):
+    def __init__(self, directory: pathlib.Path):
         self.store = platform_store.PlatformStore("127.0.0.1:0")
         self.store.start()
         self.gateway = platform_instance.PlatformInstance(
-            work, self.store.server.address
+            directory, self.store.server.address
         )
-        # The newest of each service, and those that they replaced.
+        # The newest upstream of each service, and those that were replaced.
         self.upstreams: dict[str, platform_upstream.PlatformUpstream] = {}
         self._replaced: list[platform_upstream.PlatformUpstream] = []
         self.version = 0
 
     def stop(self) -> None:
-        """Ends all."""
+        """Stops the gateway, the upstreams and the store."""
         self.gateway.kill()
-        # Each takes half a second to end.
+        # In parallel: each takes half a second to stop.
         with concurrent.futures.ThreadPoolExecutor() as pool:
-            ended = [pool.submit(one.shut_down) for one in self.all_upstreams()]
-            ended.append(pool.submit(self.store.shut_down))
-        for one in ended:
-            one.result()
+            stops = [pool.submit(one.shut_down) for one in self.all_upstreams()]
+            stops.append(pool.submit(self.store.shut_down))
+        for stop in stops:
+            stop.result()
 
     def prepare(self) -> None:
-        """Puts everything as it is before an event."""
+        """Brings everything into the state before an event."""
         self.publish()
         for service in PATHS:
             if service not in self.upstreams:
                 self.add_upstream(service)
             if service in HELD_SERVICES:
-                self.upstreams[service].hold()
+                self.upstreams[service].hold_answers()
         if not self.gateway.is_running:
             self.gateway.start()
             self.gateway.wait_ready()
         self.wait_until_known()
 
     def publish(self, **changes: Any) -> None:
-        """Writes the next version of the configuration."""
+        """Publishes the next version of the configuration."""
         self.version += VERSION_STEP
         self.store.publish(configuration(self.version, **changes))
 
     def add_upstream(
         self, service: str
     ) -> platform_upstream.PlatformUpstream | None:
-        """Starts the next upstream of a service; returns the one before."""
-        before = self.upstreams.get(service)
-        if before is not None:
-            self._replaced.append(before)
+        """Starts a new upstream of a service; returns the previous one."""
+        previous = self.upstreams.get(service)
+        if previous is not None:
+            self._replaced.append(previous)
         one = platform_upstream.PlatformUpstream(
             self.store,
             f"i-{service}-{len(self._replaced)}",
@@ -173,10 +175,10 @@
         if service not in HELD_SERVICES:
             one.release_answers()
         self.upstreams[service] = one
-        return before
+        return previous
 
     def wait_until_known(self) -> None:
-        """Waits until the gateway knows all that the store holds."""
+        """Waits until the gateway has applied all that the store holds."""
         self.gateway.wait_log_line(
             "configuration: in force", version=self.version
         )
@@ -184,7 +186,7 @@
             self.gateway.wait_log_line("upstreams: seen", id=one.instance_id)
 
     def all_upstreams(self) -> list[platform_upstream.PlatformUpstream]:
-        """Returns the upstreams of all services, also those replaced."""
+        """Returns the upstreams of all services, with those replaced."""
         return [*self.upstreams.values(), *self._replaced]
 
     def runs_of(self, request_id: str) -> list[platform_upstream.Run]:
@@ -195,6 +197,8 @@
             for run in one.runs_of(request_id)
         ]
 
-    def call(self, service: str, **how: Any) -> platform_caller.Call:
+    def call(self, service: str, **options: Any) -> platform_caller.Call:
         """Returns a call on the route of a service."""
-        return platform_caller.Call(self.gateway.front, PATHS[service], **how)
+        return platform_caller.Call(
+            self.gateway.front, PATHS[service], **options
+        )
--- a/sesamecross/fakes/platform_store.py
+++ b/sesamecross/fakes/platform_store.py
@@ -1,12 +1,11 @@
-"""A stand-in for the platform's store, as far as a gateway calls it.
+"""A fake of the platform's store, as far as a gateway calls it.
 
-Why: a gateway that runs as a real process learns operators' configurations
-and upstreams from the store alone. A test writes both here, as operators and
-upstreams do, and the gateway's own topics work as on the platform: keyed
-records, appends under a condition, reads that wait.
+A gateway process learns operators' configurations and upstreams from the store
+alone. A test writes both here, as operators and upstreams do. The gateway's own
+topics work as on the platform: keyed records, conditional appends, long polls.
 
-Partition 0 only, no expiry, no limits on calls, no groups of members: a
-gateway uses none of these.
+There are no partitions but 0, no expiry, no rate limits and no groups of
+members: a gateway uses none of these.
 """
 
 import base64
@@ -24,7 +23,7 @@
 UPSTREAMS_TOPIC = "keyed.servers"
 CONFIGURATION_KEY = "config"
 
-_PAGE_ITEMS = 500
+_MAX_PAGE_ITEMS = 500
 _LENGTH = struct.Struct(">I")
 # The end of the partition and its first retained offset.
 _PAGE_HEAD = struct.Struct(">QQ")
@@ -47,7 +46,7 @@
         self.server.start()
 
     def shut_down(self) -> None:
-        """Ends waiting reads, and the server."""
+        """Ends waiting reads and stops the server."""
         with self._changed:
             self._is_closed = True
             self._changed.notify_all()
@@ -60,12 +59,12 @@
         self.write(OPERATORS_TOPIC, CONFIGURATION_KEY, configuration)
 
     def write(self, topic: str, key: str, value: Any) -> None:
-        """Writes a record of JSON."""
+        """Appends a JSON record."""
         with self._changed:
             self._add(topic, key, json.dumps(value).encode())
 
-    def drop(self, topic: str, key: str) -> None:
-        """Removes a key."""
+    def delete(self, topic: str, key: str) -> None:
+        """Deletes a key by appending an empty value."""
         with self._changed:
             self._add(topic, key, b"")
 
@@ -78,28 +77,28 @@
     # -- what gateways call ----------------------------------------------
 
     def _append(self, request: base.Request) -> base.Response:
-        asked = _query(request)
+        query = _query(request)
         body = request.body
-        if asked["topic"] in (OPERATORS_TOPIC, UPSTREAMS_TOPIC):
+        if query["topic"] in (OPERATORS_TOPIC, UPSTREAMS_TOPIC):
             return base.Response({"error": "not yours to write"}, 403)
         with self._changed:
-            end = len(self._topics.get(asked["topic"], []))
-            if int(asked.get("at", end)) != end:
+            end = len(self._topics.get(query["topic"], []))
+            if int(query.get("at", end)) != end:
                 return base.Response({"end": end}, 412)
-            for key, value in _records(body):
-                self._add(asked["topic"], key, value)
-            new_end = len(self._topics.get(asked["topic"], []))
+            for key, value in _parse_records(body):
+                self._add(query["topic"], key, value)
+            new_end = len(self._topics.get(query["topic"], []))
         return base.Response({"offset": end, "end": new_end})
 
     def _newest(self, request: base.Request) -> base.Response:
-        asked = _query(request)
+        query = _query(request)
         with self._changed:
-            records = list(self._topics.get(asked["topic"], []))
+            records = list(self._topics.get(query["topic"], []))
         newest = {key: at for at, (key, _) in enumerate(records)}
         keys = sorted(
             key
             for key, at in newest.items()
-            if records[at][1] and key > asked.get("after", "")
+            if records[at][1] and key > query.get("after", "")
         )
         items = [
             {
@@ -107,30 +106,30 @@
                 "value": base64.b64encode(records[newest[key]][1]).decode(),
                 "offset": newest[key],
             }
-            for key in keys[:_PAGE_ITEMS]
+            for key in keys[:_MAX_PAGE_ITEMS]
         ]
         return base.Response(
             {
                 "items": items,
-                "hasMore": len(keys) > _PAGE_ITEMS,
+                "hasMore": len(keys) > _MAX_PAGE_ITEMS,
                 "end": len(records),
             }
         )
 
     def _read(self, request: base.Request) -> base.Response:
-        asked = _query(request)
-        begin = int(asked["from"])
-        until_s = time.monotonic() + int(asked.get("waitMs", 0)) / 1000
+        query = _query(request)
+        begin = int(query["from"])
+        deadline_s = time.monotonic() + int(query.get("waitMs", 0)) / 1000
         with self._changed:
             while not self._is_closed:
-                records = self._topics.get(asked["topic"], [])
-                left_s = until_s - time.monotonic()
-                if len(records) > begin or left_s <= 0:
+                records = self._topics.get(query["topic"], [])
+                remaining_s = deadline_s - time.monotonic()
+                if len(records) > begin or remaining_s <= 0:
                     break
-                self._changed.wait(left_s)
-            records = list(self._topics.get(asked["topic"], []))
+                self._changed.wait(remaining_s)
+            records = list(self._topics.get(query["topic"], []))
         page = [_PAGE_HEAD.pack(len(records), 0)]
-        page.extend(_framed(*record) for record in records[begin:])
+        page.extend(_frame_record(*record) for record in records[begin:])
         return base.Response(b"".join(page))
 
 
@@ -138,13 +137,13 @@
     return dict(parse.parse_qsl(request.environ.get("QUERY_STRING", "")))
 
 
-def _framed(key: str, value: bytes) -> bytes:
+def _frame_record(key: str, value: bytes) -> bytes:
     name = key.encode()
     content = bytes((len(name),)) + name + value
     return _LENGTH.pack(len(content)) + content
 
 
-def _records(body: bytes) -> list[tuple[str, bytes]]:
+def _parse_records(body: bytes) -> list[tuple[str, bytes]]:
     """Returns the keyed records in the body of an append."""
     records = []
     at = 0
--- a/sesamecross/fakes/platform_upstream.py
+++ b/sesamecross/fakes/platform_upstream.py
@@ -1,13 +1,13 @@
-"""A stand-in for an upstream of the platform, paced by hand.
+"""A fake upstream of the platform whose answers the test releases.
 
-Why: a test that cuts answers off at the right moment must hold them at that
-moment. This upstream sends the first half of a stream, or nothing of a plain
-answer, until the test lets go; so nothing depends on time. It remembers which
-requests ran, and whether the connection of one was closed in the middle.
+A test that interrupts answers at a chosen moment must hold them at that moment.
+This upstream sends the first half of a stream, or nothing of a plain answer,
+until the test releases it, so nothing depends on time. It records which
+requests ran, and whether a connection was closed before the answer's end.
 
 A request that names a model is answered by a stream of events, any other one
-by a plain answer. Orders are answered as by an engine, and what they load is
-there at once; an unload waits for the streams that use its target.
+by a plain answer. Orders are answered as by an engine, and loads are complete
+at once; an unload waits for the streams that use its target.
 """
 
 import collections
@@ -25,15 +25,15 @@
 from sesamecross.fakes import simulated_engine
 from sesamecross.runtime import http_server
 
-EVENTS = 10
-# How many events are sent before the test lets go of the rest.
-EVENTS_BEFORE = 5
-_LOOK_S = 0.01
-# Everything fits: tests of room use the holdings by themselves.
-_ROOM = simulated_engine.EngineCapacity(
+EVENT_COUNT = 10
+# Events that are sent before the test releases the rest.
+EVENTS_BEFORE_HOLD = 5
+_POLL_INTERVAL_S = 0.01
+# Everything fits: tests of memory limits use the simulated engine directly.
+_UNLIMITED_CAPACITY = simulated_engine.EngineCapacity(
     collections.defaultdict(float), float("inf"), 0.0, 1000
 )
-_STATUS = {
+_STATUS_CODES = {
     serving.OrderAnswer.ACCEPTED: 202,
     serving.OrderAnswer.ALREADY_DONE: 200,
     serving.OrderAnswer.CONFLICT: 409,
@@ -46,8 +46,8 @@
     """A request that this upstream ran.
 
     Attributes:
-      answer: The whole body that belongs to the request.
-      is_cut: The connection was closed before the answer's end.
+      answer: The complete body of the answer.
+      is_cut: Whether the connection was closed before the end of the answer.
     """
 
     request_id: str
@@ -60,7 +60,7 @@
 
 
 class PlatformUpstream(base.FakeServer):
-    """One life of an upstream: a server, and its entry in the store."""
+    """One incarnation of an upstream: a server and its entry in the store."""
 
     def __init__(
         self,
@@ -71,14 +71,14 @@
         models: tuple[str, ...] = (),
         answer_bytes: int = 200,
     ):
-        """Sets the upstream up.
+        """Creates the upstream; `start` serves.
 
         Args:
           store: Where it registers itself.
-          instance_id: Of this life.
-          service: Which one it belongs to.
+          instance_id: The id of this incarnation.
+          service: The service that it belongs to.
           zone: Where it runs.
-          models: What it serves, if it is an engine.
+          models: The models that it holds, if it is an engine.
           answer_bytes: The length of a plain answer.
         """
         super().__init__(instance_id, "127.0.0.1:0", threads=16)
@@ -87,29 +87,31 @@
         self._store = store
         self._service = service
         self._zone = zone
-        self._holdings = simulated_engine.SimulatedEngine(_ROOM, models)
+        self._engine = simulated_engine.SimulatedEngine(
+            _UNLIMITED_CAPACITY, models
+        )
         self._answer_bytes = answer_bytes
-        self._born = int(time.time() * 1000)
+        self._born_ms = int(time.time() * 1000)
         self._lock = threading.Lock()
-        self._let_go = threading.Event()
+        self._released = threading.Event()
         self.route("GET", "/v1/report", self._report)
         self.route("POST", "/v1/order", self._order)
         self.route("GET", "/health", self._health)
         self.route("ANY", "/.*", self._call)
 
     def start(self) -> None:
-        """Serves, and registers itself."""
+        """Starts serving, and registers itself."""
         self.server.start()
         self.register()
 
     def shut_down(self) -> None:
-        """Removes its entry and ends."""
+        """Removes its entry and stops."""
         self.unregister()
         self.release_answers()
         self.server.shut_down()
 
     def register(self, state: str = "ready") -> None:
-        """Writes its entry: `ready`, or `draining` where it leaves."""
+        """Writes its entry: `ready`, or `draining` if it leaves."""
         self._store.write(
             platform_store.UPSTREAMS_TOPIC,
             self.instance_id,
@@ -122,34 +124,34 @@
                 "state": state,
                 "coldRemainingMs": 0,
                 "sequence": 1,
-                "born": self._born,
-                "models": self._held(),
+                "born": self._born_ms,
+                "models": self._resident_models(),
             },
         )
 
     def unregister(self) -> None:
         """Removes its entry."""
-        self._store.drop(platform_store.UPSTREAMS_TOPIC, self.instance_id)
+        self._store.delete(platform_store.UPSTREAMS_TOPIC, self.instance_id)
 
     def release_answers(self) -> None:
-        """Sends what is held, and holds nothing from now on."""
-        self._let_go.set()
+        """Sends what is held; from now on holds nothing."""
+        self._released.set()
 
-    def hold(self) -> None:
-        """Holds answers from now on, as at the start."""
-        self._let_go.clear()
+    def hold_answers(self) -> None:
+        """Holds answers from now on, as after the start."""
+        self._released.clear()
 
     def runs_of(self, request_id: str) -> list[Run]:
         """Returns the runs of one request."""
         with self._lock:
             return [run for run in self.runs if run.request_id == request_id]
 
-    # -- the engine's own calls ------------------------------------------
+    # -- reports, orders and health --------------------------------------
 
-    def _held(self) -> list[dict[str, Any]]:
+    def _resident_models(self) -> list[dict[str, Any]]:
         return [
             {"name": one.name, "version": 1, "adapters": sorted(one.adapters)}
-            for one in self._holdings.held()
+            for one in self._engine.held()
         ]
 
     def _report(self, _request: base.Request) -> base.Response:
@@ -157,10 +159,10 @@
             return base.Response(
                 {
                     "stage": "both",
-                    "born": self._born,
-                    "models": self._held(),
-                    "busy": self._holdings.is_busy,
-                    "sequence": self._holdings.orders,
+                    "born": self._born_ms,
+                    "models": self._resident_models(),
+                    "busy": self._engine.is_busy,
+                    "sequence": self._engine.orders,
                     "queued": 0,
                     "inFlight": 0,
                     "kvUsed": 0,
@@ -174,15 +176,15 @@
         target = order["model"]
         if order.get("adapter"):
             target = f"{target}/{order['adapter']}"
-        sent = simulated_engine.Order(
+        order_to_apply = simulated_engine.Order(
             order["operation"] == "load", target, order.get("precondition")
         )
         with self._lock:
-            answer = self._holdings.apply(sent)
-            self._holdings.complete()
-            body = {"sequence": self._holdings.orders}
+            answer = self._engine.apply(order_to_apply)
+            self._engine.complete()
+            body = {"sequence": self._engine.orders}
         self.register()
-        return base.Response(body, _STATUS[answer])
+        return base.Response(body, _STATUS_CODES[answer])
 
     def _health(self, _request: base.Request) -> base.Response:
         return base.Response({}, headers={"Instance-Id": self.instance_id})
@@ -208,7 +210,7 @@
             f"{self.instance_id}.{request_id}",
             b"".join(_events(request_id))
             if is_stream
-            else _plain(request_id, self._answer_bytes),
+            else _plain_answer(request_id, self._answer_bytes),
         )
         with self._lock:
             self.runs.append(run)
@@ -216,65 +218,67 @@
             "Request-Id": request_id,
             "Response-Signature": run.signature,
         }
-        caller = request.environ[http_server.CONNECTION].socket
+        caller_socket = request.environ[http_server.CONNECTION].socket
         if is_stream:
             target = request.header("Model")
             headers["Content-Type"] = "text/event-stream"
             headers["Weight-Versions"] = "1"
-            stream = self._stream(run, caller, target)
+            stream = self._stream(run, caller_socket, target)
             return base.Response(stream, headers=headers)
-        self._hold(run, caller)
+        self._wait_until_released(run, caller_socket)
         return base.Response(run.answer, headers=headers)
 
     def _stream(
-        self, run: Run, caller: socket.socket, target: str
+        self, run: Run, caller_socket: socket.socket, target: str
     ) -> Iterator[bytes]:
         events = _events(run.request_id)
-        is_whole = False
+        is_complete = False
         with self._lock:
-            self._holdings.begin_request(target)
+            self._engine.begin_request(target)
         try:
-            yield b"".join(events[:EVENTS_BEFORE])
-            self._hold(run, caller)
-            yield from events[EVENTS_BEFORE:]
-            is_whole = True
+            yield b"".join(events[:EVENTS_BEFORE_HOLD])
+            self._wait_until_released(run, caller_socket)
+            yield from events[EVENTS_BEFORE_HOLD:]
+            is_complete = True
         finally:
-            run.is_cut = run.is_cut or not is_whole
+            run.is_cut = run.is_cut or not is_complete
             with self._lock:
-                self._holdings.end_request(target)
-                self._holdings.complete()
-
-    def _hold(self, run: Run, caller: socket.socket) -> None:
-        """Waits until the test lets go, or the connection is closed."""
-        while not self._let_go.wait(_LOOK_S):
-            if _is_closed(caller):
+                self._engine.end_request(target)
+                self._engine.complete()
+
+    def _wait_until_released(
+        self, run: Run, caller_socket: socket.socket
+    ) -> None:
+        """Waits until the test releases it, or the connection is closed."""
+        while not self._released.wait(_POLL_INTERVAL_S):
+            if _is_closed(caller_socket):
                 run.is_cut = True
                 return
 
 
-def _is_closed(caller: socket.socket) -> bool:
-    """Tells whether the other side closed; it sends nothing meanwhile."""
-    if not select.select([caller], [], [], 0)[0]:
+def _is_closed(caller_socket: socket.socket) -> bool:
+    """Returns whether the peer closed; it must not send anything meanwhile."""
+    if not select.select([caller_socket], [], [], 0)[0]:
         return False
     try:
-        return caller.recv(1, socket.MSG_PEEK) == b""
+        return caller_socket.recv(1, socket.MSG_PEEK) == b""
     except ConnectionError:
         return True
 
 
 def first_events(request_id: str) -> bytes:
-    """Returns what is sent of a stream before the test lets go."""
-    return b"".join(_events(request_id)[:EVENTS_BEFORE])
+    """Returns what is sent of a stream before the test releases the rest."""
+    return b"".join(_events(request_id)[:EVENTS_BEFORE_HOLD])
 
 
 def _events(request_id: str) -> list[bytes]:
     return [
         f"id: {number}\ndata: {request_id} {number}\n\n".encode()
-        for number in range(1, EVENTS + 1)
+        for number in range(1, EVENT_COUNT + 1)
     ]
 
 
-def _plain(request_id: str, length: int) -> bytes:
-    """Returns an answer that differs from that of any other request."""
-    piece = f"{request_id} ".encode()
-    return (piece * (length // len(piece) + 1))[:length]
+def _plain_answer(request_id: str, length: int) -> bytes:
+    """Returns an answer that is unique to the request."""
+    repeated = f"{request_id} ".encode()
+    return (repeated * (length // len(repeated) + 1))[:length]
--- a/sesamecross/fakes/platform_upstream_test.py
+++ b/sesamecross/fakes/platform_upstream_test.py
@@ -1,4 +1,4 @@
-"""Tests of how the stand-in of an upstream answers orders."""
+"""Tests of how the fake upstream answers orders."""
 
 import pytest
 import urllib3
@@ -20,13 +20,19 @@
     store.server.shut_down()
 
 
-def order(engine, operation: str, model: str, adapter: str = "", after=None):
-    """Gives an order; returns the status and the engine's count."""
+def order(
+    engine,
+    operation: str,
+    model: str,
+    adapter: str = "",
+    expected_order_count=None,
+):
+    """Sends an order; returns the status and the engine's order count."""
     body = {"operation": operation, "model": model, "holder": "h"}
     if adapter:
         body["adapter"] = adapter
-    if after is not None:
-        body["precondition"] = after
+    if expected_order_count is not None:
+        body["precondition"] = expected_order_count
     with urllib3.PoolManager() as pool:
         url = f"http://{engine.server.address}/v1"
         answer = pool.request("POST", f"{url}/order", json=body)
@@ -34,7 +40,7 @@
     return answer.status, report["sequence"]
 
 
-# Orders in a row, and the status and count after the last of them.
+# Successive orders, and the status and order count after the last.
 ORDERS = [
     pytest.param([("load", "n")], 202, 1, id="a model"),
     pytest.param([("load", "m")], 200, 0, id="a model that is held"),
--- a/sesamecross/fakes/proxy.py
+++ b/sesamecross/fakes/proxy.py
@@ -1,4 +1,4 @@
-"""A fault-injecting TCP proxy set by a control port.
+"""A fault-injecting TCP proxy, configured through a control port.
 
 Links are given as `NAME=LISTEN>TARGET`. The control port takes
 `POST /fake/faults` with `{"link": NAME, ...}`; a link `*` means all.
@@ -9,20 +9,20 @@
 
 from sesamecross.fakes import base
 
-_PIECE = 65_536
-_STALL_S = 0.05
+_CHUNK_BYTES = 65_536
+_STALL_POLL_S = 0.05
 
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What a link does to bytes.
+    """The faults of a link.
 
     Attributes:
-      delay_ms: Added to each piece, both ways.
-      cut_to_target: Pieces towards the target vanish, and new connections
-        get no further. cut_to_client: likewise the other way.
-      refuse: New connections are reset at once.
-      stall: Nothing moves until the fault is lifted; nothing is lost.
+      delay_ms: Added to each chunk, in both directions.
+      cut_to_target: Drops all bytes towards the target, also those of new
+        connections. cut_to_client: likewise towards the client.
+      refuse: Resets new connections at once.
+      stall: Relays nothing until the fault is cleared; no byte is lost.
       truncate_after: Bytes towards the client after which the connection
         is reset; 0 for never.
     """
@@ -36,12 +36,12 @@
 
 
 class Link:
-    """One listening port and where it leads. A supervisor's component."""
+    """One listening port and its target; a component of the supervisor."""
 
     def __init__(self, name: str, listen: str, target: str):
         self.faults = Faults()
         self.connections = 0
-        self.bytes_moved = 0
+        self.bytes_relayed = 0
         self._name = name
         self._listen = listen
         self._target = target
@@ -63,7 +63,7 @@
             await self._server.serve_forever()
 
     async def stop(self) -> None:
-        """Drops all connections."""
+        """Resets all connections."""
         self.reset()
 
     def reset(self) -> None:
@@ -86,48 +86,48 @@
         except OSError:
             writer.transport.abort()
             return
-        pair = {writer, target_writer}
-        self._open |= pair
+        writers = {writer, target_writer}
+        self._open |= writers
         try:
             await asyncio.gather(
-                self._pump(reader, target_writer, to_target=True),
-                self._pump(target_reader, writer, to_target=False),
+                self._relay(reader, target_writer, to_target=True),
+                self._relay(target_reader, writer, to_target=False),
             )
         except OSError:
-            for one in pair:
+            for one in writers:
                 one.transport.abort()
         finally:
-            self._open -= pair
-            for one in pair:
+            self._open -= writers
+            for one in writers:
                 one.close()
 
-    async def _pump(
+    async def _relay(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         to_target: bool,
     ) -> None:
-        moved = 0
-        while piece := await reader.read(_PIECE):
+        relayed = 0
+        while chunk := await reader.read(_CHUNK_BYTES):
             if self.faults.delay_ms:
                 await asyncio.sleep(self.faults.delay_ms / 1000)
             while self.faults.stall:
-                await asyncio.sleep(_STALL_S)
-            if self._cut(to_target):
+                await asyncio.sleep(_STALL_POLL_S)
+            if self._is_cut(to_target):
                 continue
             limit = self.faults.truncate_after
-            if limit and not to_target and moved + len(piece) > limit:
-                writer.write(piece[: limit - moved])
+            if limit and not to_target and relayed + len(chunk) > limit:
+                writer.write(chunk[: limit - relayed])
                 await writer.drain()
                 raise ConnectionAbortedError("truncated")
-            writer.write(piece)
-            moved += len(piece)
-            self.bytes_moved += len(piece)
+            writer.write(chunk)
+            relayed += len(chunk)
+            self.bytes_relayed += len(chunk)
             await writer.drain()
         if writer.can_write_eof():
             writer.write_eof()
 
-    def _cut(self, to_target: bool) -> bool:
+    def _is_cut(self, to_target: bool) -> bool:
         if to_target:
             return self.faults.cut_to_target
         return self.faults.cut_to_client
@@ -156,23 +156,23 @@
         faults = request.json()
         name = faults.pop("link")
         reset = faults.pop("reset", False)
-        chosen = [
+        matching = [
             link
             for link_name, link in self._links.items()
             if name in ("*", link_name)
         ]
-        for link in chosen:
+        for link in matching:
             link.faults = dataclasses.replace(link.faults, **faults)
             if reset:
                 self._loop.call_soon_threadsafe(link.reset)
-        return base.Response({"links": len(chosen)})
+        return base.Response({"links": len(matching)})
 
     def _get_stats(self, _request: base.Request) -> base.Response:
         return base.Response(
             {
                 name: {
                     "connections": link.connections,
-                    "bytes": link.bytes_moved,
+                    "bytes": link.bytes_relayed,
                 }
                 for name, link in self._links.items()
             }
--- a/sesamecross/fakes/samples.py
+++ b/sesamecross/fakes/samples.py
@@ -1,4 +1,4 @@
-"""Records that tests start from; they change what matters to them."""
+"""Default records for tests, which replace the fields that matter to them."""
 
 from sesamecross.core import serving
 
--- a/sesamecross/fakes/service.py
+++ b/sesamecross/fakes/service.py
@@ -1,4 +1,4 @@
-"""A fake of a plain service that counts how often each key ran."""
+"""A fake plain service that counts how often each idempotency key ran."""
 
 import threading
 import time
@@ -7,7 +7,7 @@
 
 
 class ServiceServer(base.FakeServer):
-    """Answers any method below `/` and remembers what ran."""
+    """Answers any method and path, and records what ran."""
 
     def __init__(self, name: str, listen: str, work_ms: int):
         super().__init__(name, listen, threads=64)
--- a/sesamecross/fakes/simulated_engine.py
+++ b/sesamecross/fakes/simulated_engine.py
@@ -1,13 +1,13 @@
-"""What a stand-in engine holds, and what it answers to orders.
+"""A simulated engine: its models and adapters, and its answers to orders.
 
-Why: the giver of orders is right only by what engines really do with an order.
-One engine, without clock or network, serves the stand-in upstream and the
-tests of the books alike.
+The placement controller is correct only if it matches what engines really do
+with an order. This engine, without clock or network, serves both the fake
+upstream and the tests of the inventory.
 
-An engine carries out one order about a model at a time and refuses all others
-meanwhile. Orders about adapters are done at once or in the background. The
-same answer, `ALREADY`, says that an order changed nothing and that an unload
-was carried out at once; only the latter counts.
+An engine carries out one order for a model at a time and refuses all others
+meanwhile. Orders for adapters are carried out at once or in the background.
+The same answer, `ALREADY_DONE`, says that an order changed nothing and that an
+unload was carried out at once; only the latter is counted.
 """
 
 from collections.abc import Mapping
@@ -18,45 +18,47 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """One order, perhaps for long on its way.
+    """One order, which may arrive late.
 
     Attributes:
-      target: A model, or a model and an adapter behind a slash.
-      after: How many orders the engine must have accepted; None for any.
+      target: A model, or a model and an adapter, as `model/adapter`.
+      expected_order_count: How many orders the engine must have accepted;
+        None for any number.
     """
 
     loads: bool
     target: str
-    after: int | None
+    expected_order_count: int | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineCapacity:
-    """What fits an engine.
+    """The memory of an engine, and the sizes of models and adapters.
 
     Attributes:
-      sizes_mb: Models by their size.
+      model_sizes_mb: Sizes by model.
+      weights_mb: Memory for models and adapters together.
       adapter_mb: The size of each adapter.
     """
 
-    sizes_mb: Mapping[str, float]
+    model_sizes_mb: Mapping[str, float]
     weights_mb: float
     adapter_mb: float
     adapter_slots: int
 
 
 class SimulatedEngine:
-    """One life of an engine.
+    """One incarnation of an engine.
 
     Attributes:
-      orders: Orders that it has accepted.
-      adapters: All that it lists, those that depart included.
-      departing: Adapters that go once their requests have ended.
-      loading, unloading: The model of the order under way.
-      is_overloaded: Whether it was ever ordered to load more than fits.
+      orders: How many orders it has accepted.
+      adapters: All adapters that it lists, including the departing ones.
+      departing: Adapters that are unloaded once their requests have ended.
+      loading, unloading: The model of the order in progress.
+      was_overcommitted: Whether it was ever ordered to load more than fits.
     """
 
-    def __init__(self, room: EngineCapacity, models: tuple[str, ...] = ()):
+    def __init__(self, capacity: EngineCapacity, models: tuple[str, ...] = ()):
         self.orders = 0
         self.models = set(models)
         self.adapters: set[str] = set()
@@ -65,21 +67,21 @@
         self.loading: str | None = None
         self.unloading: str | None = None
         self.was_overcommitted = False
-        self._room = room
-        self._uses: dict[str, int] = {}
+        self._capacity = capacity
+        self._running_requests: dict[str, int] = {}
 
     @property
     def is_busy(self) -> bool:
-        """Whether an order about a model is under way."""
+        """Whether an order for a model is in progress."""
         return self.loading is not None or self.unloading is not None
 
     @property
     def running_requests(self) -> dict[str, int]:
-        """Requests under way by target."""
-        return self._uses
+        """Counts of running requests by target."""
+        return self._running_requests
 
     def can_serve(self, target: str) -> bool:
-        """Whether a request for a target would run."""
+        """Whether a request for a target would run now."""
         model = target.partition("/")[0]
         if model not in self.models or model == self.unloading:
             return False
@@ -89,26 +91,29 @@
     # -- orders ----------------------------------------------------------
 
     def apply(self, order: Order) -> serving.OrderAnswer:
-        """Carries out an order, as far as it may, and returns the answer."""
-        if self.is_busy or order.after not in (None, self.orders):
+        """Starts or carries out an order, or refuses it; returns the answer."""
+        if self.is_busy or order.expected_order_count not in (
+            None,
+            self.orders,
+        ):
             return serving.OrderAnswer.CONFLICT
         is_adapter = "/" in order.target
         if order.loads:
-            apply = self._load_adapter if is_adapter else self._load
+            apply = self._load_adapter if is_adapter else self._load_model
         else:
-            apply = self._unload_adapter if is_adapter else self._unload
+            apply = self._unload_adapter if is_adapter else self._unload_model
         answer = apply(order.target)
-        self._check()
+        self._record_overcommit()
         return answer
 
-    def _load(self, model: str) -> serving.OrderAnswer:
+    def _load_model(self, model: str) -> serving.OrderAnswer:
         if model in self.models:
             return serving.OrderAnswer.ALREADY_DONE
         self.orders += 1
         self.loading = model
         return serving.OrderAnswer.ACCEPTED
 
-    def _unload(self, model: str) -> serving.OrderAnswer:
+    def _unload_model(self, model: str) -> serving.OrderAnswer:
         if model not in self.models:
             return serving.OrderAnswer.ALREADY_DONE
         self.orders += 1
@@ -128,78 +133,89 @@
         if target not in self.adapters or target in self.departing:
             return serving.OrderAnswer.ALREADY_DONE
         self.orders += 1
-        if self._uses.get(target):
+        if self._running_requests.get(target):
             self.departing.add(target)
             return serving.OrderAnswer.ACCEPTED
         self.adapters.discard(target)
         return serving.OrderAnswer.ALREADY_DONE
 
-    def _check(self) -> None:
+    def _record_overcommit(self) -> None:
         held = self.models | ({self.loading} if self.loading else set())
         adapters = self.adapters | self.arriving
-        used_mb = sum(self._room.sizes_mb[name] for name in held)
-        used_mb += len(adapters) * self._room.adapter_mb
+        used_mb = sum(self._capacity.model_sizes_mb[name] for name in held)
+        used_mb += len(adapters) * self._capacity.adapter_mb
         if (
-            used_mb > self._room.weights_mb
-            or len(adapters) > self._room.adapter_slots
+            used_mb > self._capacity.weights_mb
+            or len(adapters) > self._capacity.adapter_slots
         ):
             self.was_overcommitted = True
 
-    # -- what happens by itself ------------------------------------------
+    # -- what happens without orders -------------------------------------
 
     def complete_adapters(self) -> None:
-        """Adapters on their way have arrived."""
+        """Completes the loads of adapters."""
         self.adapters |= self.arriving
         self.arriving = set()
 
     def complete(self) -> None:
-        """Finishes what is under way, but an unload that requests hold up."""
+        """Completes all orders except an unload that running requests block."""
         self.complete_adapters()
         if self.loading is not None:
             self.models.add(self.loading)
             self.loading = None
-        if self.unloading is not None and not self._is_used(self.unloading):
-            gone = f"{self.unloading}/"
+        if self.unloading is not None and not self._has_running_requests(
+            self.unloading
+        ):
+            adapter_prefix = f"{self.unloading}/"
             self.models.discard(self.unloading)
-            for held in (self.adapters, self.departing, self.arriving):
-                held -= {one for one in held if one.startswith(gone)}
+            for targets in (self.adapters, self.departing, self.arriving):
+                targets -= {
+                    target
+                    for target in targets
+                    if target.startswith(adapter_prefix)
+                }
             self.unloading = None
 
     def begin_request(self, target: str) -> None:
-        """A request for a target begins to run."""
-        self._uses[target] = self._uses.get(target, 0) + 1
+        """Begins a request for a target."""
+        self._running_requests[target] = (
+            self._running_requests.get(target, 0) + 1
+        )
 
     def end_request(self, target: str) -> None:
-        """A request for a target ends."""
-        self._uses[target] -= 1
-        if self._uses[target]:
+        """Ends a request; a departing adapter goes with its last request."""
+        self._running_requests[target] -= 1
+        if self._running_requests[target]:
             return
-        del self._uses[target]
+        del self._running_requests[target]
         if target in self.departing:
             self.departing.discard(target)
             self.adapters.discard(target)
 
-    def _is_used(self, model: str) -> bool:
-        return any(one.partition("/")[0] == model for one in self._uses)
+    def _has_running_requests(self, model: str) -> bool:
+        return any(
+            target.partition("/")[0] == model
+            for target in self._running_requests
+        )
 
-    # -- what it says of itself ------------------------------------------
+    # -- what it reports -------------------------------------------------
 
     def held(self) -> tuple[serving.ResidentModel, ...]:
-        """Returns what it lists, whether or not it departs."""
+        """Returns its models and adapters, including departing ones."""
         return tuple(
             serving.ResidentModel(
                 name,
                 frozenset(
-                    one.partition("/")[2]
-                    for one in self.adapters
-                    if one.startswith(f"{name}/")
+                    target.partition("/")[2]
+                    for target in self.adapters
+                    if target.startswith(f"{name}/")
                 ),
             )
             for name in sorted(self.models)
         )
 
     def report(self, born_ms: int) -> serving.EngineReport:
-        """Returns its answer to a question, as of now."""
+        """Returns its current report."""
         return serving.EngineReport(
             born_ms,
             self.orders,
@@ -208,7 +224,7 @@
             frozenset(self.arriving),
             serving.WeightCopies(),
             0,
-            sum(self._uses.values()),
+            sum(self._running_requests.values()),
             0,
             100_000,
         )
--- a/sesamecross/fakes/simulated_engine_test.py
+++ b/sesamecross/fakes/simulated_engine_test.py
@@ -1,11 +1,11 @@
-"""Tests of what the stand-in engine answers to orders."""
+"""Tests of how the simulated engine answers orders."""
 
 import pytest
 
 from sesamecross.core import serving
 from sesamecross.fakes import simulated_engine as lib
 
-ROOM = lib.EngineCapacity({"m": 40.0, "n": 40.0, "o": 40.0}, 82.0, 1.0, 2)
+CAPACITY = lib.EngineCapacity({"m": 40.0, "n": 40.0, "o": 40.0}, 82.0, 1.0, 2)
 ACCEPTED = serving.OrderAnswer.ACCEPTED
 ALREADY_DONE = serving.OrderAnswer.ALREADY_DONE
 CONFLICT = serving.OrderAnswer.CONFLICT
@@ -13,14 +13,15 @@
 
 
 def engine() -> lib.SimulatedEngine:
-    """Returns one that holds a model and an idle adapter: one order."""
-    one = lib.SimulatedEngine(ROOM, ("m",))
-    one.apply(lib.Order(True, "m/a1", None))
-    one.complete()
-    return one
+    """Returns one with a model and an idle adapter, after one order."""
+    fake = lib.SimulatedEngine(CAPACITY, ("m",))
+    fake.apply(lib.Order(True, "m/a1", None))
+    fake.complete()
+    return fake
 
 
-# An order, whether the adapter is in use, the answer and whether it counts.
+# An order, whether the adapter is in use, the answer, and by how much the order
+# count grows.
 ORDERS = [
     pytest.param(False, "m/a1", False, ALREADY_DONE, 1, id="idle adapter goes"),
     pytest.param(False, "m/a1", True, ACCEPTED, 1, id="used adapter departs"),
@@ -39,36 +40,36 @@
     ("loads", "target", "is_used", "answer", "counts"), ORDERS
 )
 def test_orders(loads, target, is_used, answer, counts):
-    one = engine()
+    fake = engine()
     if is_used:
-        one.begin_request("m/a1")
-    before = one.orders
-    assert one.apply(lib.Order(loads, target, before)) is answer
-    assert one.orders - before == counts
-    assert not one.was_overcommitted
+        fake.begin_request("m/a1")
+    before = fake.orders
+    assert fake.apply(lib.Order(loads, target, before)) is answer
+    assert fake.orders - before == counts
+    assert not fake.was_overcommitted
 
 
 def test_an_adapter_that_departs_is_listed_until_its_requests_end():
-    one = engine()
-    one.begin_request("m/a1")
-    one.apply(lib.Order(False, "m/a1", None))
-    before = one.orders
-    assert one.apply(lib.Order(False, "m/a1", None)) is ALREADY_DONE
-    assert one.orders == before
-    assert one.held() == (serving.ResidentModel("m", frozenset({"a1"})),)
-    assert not one.can_serve("m/a1")
-    one.end_request("m/a1")
-    assert one.held() == (serving.ResidentModel("m"),)
+    fake = engine()
+    fake.begin_request("m/a1")
+    fake.apply(lib.Order(False, "m/a1", None))
+    before = fake.orders
+    assert fake.apply(lib.Order(False, "m/a1", None)) is ALREADY_DONE
+    assert fake.orders == before
+    assert fake.held() == (serving.ResidentModel("m", frozenset({"a1"})),)
+    assert not fake.can_serve("m/a1")
+    fake.end_request("m/a1")
+    assert fake.held() == (serving.ResidentModel("m"),)
 
 
 def test_orders_for_another_count_or_beside_one_under_way_are_refused():
-    one = engine()
-    assert one.apply(lib.Order(True, "n", one.orders + 1)) is CONFLICT
-    one.apply(lib.Order(True, "n", one.orders))
-    assert one.apply(lib.Order(True, "m/a2", one.orders)) is CONFLICT
+    fake = engine()
+    assert fake.apply(lib.Order(True, "n", fake.orders + 1)) is CONFLICT
+    fake.apply(lib.Order(True, "n", fake.orders))
+    assert fake.apply(lib.Order(True, "m/a2", fake.orders)) is CONFLICT
 
 
-# What is ordered one after the other, and whether that is too much.
+# Targets that are loaded in turn, and whether they exceed the capacity.
 LOADS = [
     pytest.param(["n"], False, id="both models fit"),
     pytest.param(["n", "o"], True, id="three models do not"),
@@ -79,20 +80,20 @@
 
 @pytest.mark.parametrize(("targets", "was_overcommitted"), LOADS)
 def test_more_than_fits_is_noted(targets, was_overcommitted):
-    one = engine()
+    fake = engine()
     for target in targets:
-        one.apply(lib.Order(True, target, None))
-        one.complete()
-    assert one.was_overcommitted is was_overcommitted
+        fake.apply(lib.Order(True, target, None))
+        fake.complete()
+    assert fake.was_overcommitted is was_overcommitted
 
 
 def test_an_unloaded_model_goes_with_its_adapters_once_nobody_uses_it():
-    one = engine()
-    one.begin_request("m/a1")
-    one.apply(lib.Order(False, "m", None))
-    one.complete()
-    assert one.is_busy
-    one.end_request("m/a1")
-    one.complete()
-    assert not one.is_busy
-    assert not one.models | one.adapters
+    fake = engine()
+    fake.begin_request("m/a1")
+    fake.apply(lib.Order(False, "m", None))
+    fake.complete()
+    assert fake.is_busy
+    fake.end_request("m/a1")
+    fake.complete()
+    assert not fake.is_busy
+    assert not fake.models | fake.adapters
--- a/sesamecross/fakes/store.py
+++ b/sesamecross/fakes/store.py
@@ -1,8 +1,8 @@
 """A fake of the rate-limited weight store.
 
-Engines ask it before they load; the answer comes when the load is done. A
-load takes its base time at full speed and longer in proportion when more
-than `full_speed` loads run at once; loads start no faster than the rate.
+Engines call it to load; the answer comes when the load is complete. A load
+takes its base time at full speed, and proportionally longer while more than
+`full_speed_loads` run. Loads start no faster than the rate limit.
 """
 
 import threading
@@ -10,7 +10,7 @@
 
 from sesamecross.fakes import base
 
-ADAPTER_S = 0.005
+ADAPTER_LOAD_S = 0.005
 
 
 class StoreServer(base.FakeServer):
@@ -18,12 +18,12 @@
 
     def __init__(self, name: str, listen: str, flags):
         super().__init__(name, listen, threads=96)
-        self._rate = flags.loads_per_second
-        self._full_speed = flags.full_speed_loads
+        self._loads_per_second = flags.loads_per_second
+        self._full_speed_loads = flags.full_speed_loads
         self._adapter_limit = flags.adapters_in_transit
         self._load_s = flags.load_s
         self._lock = threading.Lock()
-        self._next_start = 0.0
+        self._next_start_s = 0.0
         self._in_flight = {"model": 0, "adapter": 0}
         self._stats = {"model": 0, "adapter": 0, "refused": 0, "mib": 0}
         self._stats |= {"peak_model": 0, "peak_adapter": 0}
@@ -39,7 +39,7 @@
         if self._faults["outage"]:
             self._stats["refused"] += 1
             return base.Response({"error": "outage"}, 503)
-        time.sleep(self._begin(kind, int(order["mib"])))
+        time.sleep(self._start_load(kind, int(order["mib"])))
         with self._lock:
             self._in_flight[kind] -= 1
             if self._faults["lose_answers"] > 0:
@@ -47,8 +47,8 @@
                 return base.Response({"error": "answer lost"}, 503)
         return base.Response({"ok": True})
 
-    def _begin(self, kind: str, mib: int) -> float:
-        """Counts the load in and returns how long it takes, in seconds."""
+    def _start_load(self, kind: str, mib: int) -> float:
+        """Counts the load as running; returns how long it takes, in seconds."""
         with self._lock:
             self._in_flight[kind] += 1
             self._stats[kind] += 1
@@ -59,12 +59,12 @@
             slow_s = self._faults["slow_ms"] / 1000
             if kind == "adapter":
                 factor = max(1.0, running / self._adapter_limit)
-                return ADAPTER_S * factor + slow_s
-            now = time.monotonic()
-            start = max(now, self._next_start)
-            self._next_start = start + 1 / self._rate
-            factor = max(1.0, running / self._full_speed)
-            return start - now + self._load_s * factor + slow_s
+                return ADAPTER_LOAD_S * factor + slow_s
+            now_s = time.monotonic()
+            start_s = max(now_s, self._next_start_s)
+            self._next_start_s = start_s + 1 / self._loads_per_second
+            factor = max(1.0, running / self._full_speed_loads)
+            return start_s - now_s + self._load_s * factor + slow_s
 
     def _status(self, _request: base.Request) -> base.Response:
         if self._faults["outage"]:
--- a/sesamecross/fakes/virtual_time_loop.py
+++ b/sesamecross/fakes/virtual_time_loop.py
@@ -1,33 +1,35 @@
-"""An event loop on a clock of its own, for tests without sockets."""
+"""An event loop on virtual time, for tests without sockets."""
 
 import asyncio
 import selectors
 
 
-class _JumpingSelector(selectors.DefaultSelector):
-    """Does not wait: the time that it would wait for has passed."""
+class _VirtualTimeSelector(selectors.DefaultSelector):
+    """Advances virtual time by the timeout instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now_s = 0.0
 
     def select(self, timeout=None):
-        assert timeout is not None, "everybody waits, for nothing"
+        assert timeout is not None, (
+            "no timer is set: the loop would wait forever"
+        )
         self.now_s += max(0.0, timeout)
         return super().select(0)
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time is only what is waited for or worked."""
+    """An event loop whose time advances only by timeouts and by `work`."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        """Returns seconds since the loop was made."""
-        return self._jumping.now_s
+        """Returns the seconds since the loop was created."""
+        return self._virtual_selector.now_s
 
     def work(self, seconds: float) -> None:
-        """Lets time pass in which the loop does nothing else."""
-        self._jumping.now_s += seconds
+        """Advances time as a task that blocks the loop would."""
+        self._virtual_selector.now_s += seconds
