--- a/sesamecross/scripts/__init__.py
+++ b/sesamecross/scripts/__init__.py
@@ -1,1 +1,1 @@
-"""Thin command-line mains."""
+"""Entry points of the programs."""
--- a/sesamecross/scripts/capacity.py
+++ b/sesamecross/scripts/capacity.py
@@ -1,4 +1,4 @@
-"""Measures the slopes that docs/CAPACITY.md works with."""
+"""Measures the cost slopes that docs/CAPACITY.md uses."""
 
 import argparse
 import sys
--- a/sesamecross/scripts/demo.py
+++ b/sesamecross/scripts/demo.py
@@ -12,10 +12,10 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("what", choices=("demo", "up"))
     flags = parser.parse_args()
-    say = functools.partial(print, flush=True)
+    print_line = functools.partial(print, flush=True)
     if flags.what == "demo":
-        return demo.run_demo(say)
-    return demo.run_up(say)
+        return demo.run_demo(print_line)
+    return demo.run_up(print_line)
 
 
 if __name__ == "__main__":
--- a/sesamecross/scripts/fake_instances.py
+++ b/sesamecross/scripts/fake_instances.py
@@ -11,7 +11,7 @@
 
 
 def _run(pending_signals: signals.PendingSignals) -> int:
-    # Deferred until signals are held: see `signals.run_with_deferred_signals`.
+    # Imported with signals deferred: see `signals.run_with_deferred_signals`.
     from sesamecross.fakes import base
     from sesamecross.fakes import instances
 
--- a/sesamecross/scripts/fault_proxy.py
+++ b/sesamecross/scripts/fault_proxy.py
@@ -11,7 +11,7 @@
 
 
 def _run(pending_signals: signals.PendingSignals) -> int:
-    # Deferred until signals are held: see `signals.run_with_deferred_signals`.
+    # Imported with signals deferred: see `signals.run_with_deferred_signals`.
     from sesamecross.fakes import base
     from sesamecross.fakes import proxy
 
@@ -20,7 +20,7 @@
         "--link",
         action="append",
         default=[],
-        help="NAME=LISTEN>TARGET, once for each link",
+        help="NAME=LISTEN>TARGET; repeat for each link",
     )
     flags = parser.parse_args()
     server = proxy.ProxyServer(flags.name, flags.listen, flags.link)
--- a/sesamecross/scripts/gateway.py
+++ b/sesamecross/scripts/gateway.py
@@ -11,7 +11,7 @@
 
 
 def _run(pending_signals: signals.PendingSignals) -> int:
-    # Deferred until signals are held: see `signals.run_with_deferred_signals`.
+    # Imported with signals deferred: see `signals.run_with_deferred_signals`.
     import argparse
 
     from sesamecross.platform import program
@@ -21,7 +21,7 @@
         "--log-level",
         default="info",
         choices=("debug", "info", "warning", "error"),
-        help="the least that is logged",
+        help="the lowest level that is logged",
     )
     return program.run(parser.parse_args().log_level, pending_signals)
 
