--- a/sesamecross/entry/http_app.py
+++ b/sesamecross/entry/http_app.py
@@ -1,4 +1,4 @@
-"""The entry's HTTP face: who calls, what is asked, and the answer's form."""
+"""The entry's HTTP interface: authentication, routing and responses."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -13,14 +13,14 @@
 from sesamecross.core import clock as clock_lib
 from sesamecross.core import data
 from sesamecross.core import refusal
-from sesamecross.entry import answers
 from sesamecross.entry import model_call
-from sesamecross.entry import model_desk
+from sesamecross.entry import model_dispatcher
 from sesamecross.entry import model_request
-from sesamecross.entry import pump as pump_lib
+from sesamecross.entry import openai_response
 from sesamecross.entry import service_call
 from sesamecross.entry import sinks
 from sesamecross.entry import state as state_lib
+from sesamecross.entry import stream_relay as stream_relay_lib
 from sesamecross.ops import answer_validator
 from sesamecross.ops import routing
 from sesamecross.ops import timeline
@@ -31,7 +31,7 @@
 from sesamecross.runtime import metrics as metrics_lib
 from sesamecross.utils import digest
 
-_REASONS = {
+_REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     401: "Unauthorized",
@@ -45,31 +45,31 @@
     504: "Gateway Timeout",
 }
 _SERVICE_PATH = re.compile(r"^/services/([^/]+)(/.*)?$")
-_HEADERS_PASSED = ("CONTENT_TYPE", "HTTP_ACCEPT", "HTTP_IDEMPOTENCY_KEY")
-_MOST_PRIORITY = 9
-CORRELATION = "X-Correlation-Id"
+_FORWARDED_HEADERS = ("CONTENT_TYPE", "HTTP_ACCEPT", "HTTP_IDEMPOTENCY_KEY")
+_MAX_PRIORITY = 9
+CORRELATION_HEADER = "X-Correlation-Id"
 
 
 def _status_line(status: int) -> str:
-    return f"{status} {_REASONS.get(status, 'Status')}"
+    return f"{status} {_REASON_PHRASES.get(status, 'Status')}"
 
 
 class _Request:
-    """One caller's request, as far as its head tells."""
+    """The request line and headers of a caller's request."""
 
-    __slots__ = ("environ", "call_id", "path", "method", "began_s")
+    __slots__ = ("environ", "call_id", "path", "method", "started_s")
 
     def __init__(self, environ: dict):
         self.environ = environ
         self.call_id = uuid.uuid4().hex
         self.path = environ.get("PATH_INFO", "/")
         self.method = environ["REQUEST_METHOD"]
-        self.began_s = time.monotonic()
+        self.started_s = time.monotonic()
 
     def header(self, name: str) -> str:
         return self.environ.get(name, "")
 
-    def number(self, name: str) -> int | None:
+    def int_header(self, name: str) -> int | None:
         text = self.header(name)
         return int(text) if text.isdecimal() and len(text) < 12 else None
 
@@ -81,9 +81,9 @@
         self,
         settings: settings_lib.EntrySettings,
         state: state_lib.EntryState,
-        desk: model_desk.ModelDesk,
-        pump: pump_lib.Pump,
-        services: service_call.ServiceDesk,
+        dispatcher: model_dispatcher.ModelDispatcher,
+        stream_relay: stream_relay_lib.StreamRelay,
+        services: service_call.ServiceDispatcher,
         engines: engine_http.HttpEngine,
         clock: clock_lib.Clock,
         recorder: timeline.Recorder,
@@ -91,92 +91,100 @@
     ):
         self._settings = settings
         self._state = state
-        self._desk = desk
-        self._pump = pump
+        self._dispatcher = dispatcher
+        self._stream_relay = stream_relay
         self._services = services
         self._engines = engines
         self._clock = clock
         self._recorder = recorder
         self._metrics = metrics
-        self._logger = logs.part("http")
+        self._logger = logs.get_logger("http")
 
     def __call__(self, environ: dict, start_response: Any) -> Iterable[bytes]:
-        """Answers one request."""
+        """Handles one request."""
         request = _Request(environ)
         if request.path in ("/healthz", "/readyz", "/metrics"):
-            return self._platform(request, start_response)
-        known = self._state.known
-        if known is None:
-            # Nothing is known yet, so nothing can be promised or checked.
-            answer = self._unclaimed(request, refusal.no_upstream("any call"))
-            return self._refuse(request, answer, start_response)
-        caller = self._caller(request, known)
+            return self._handle_operations(request, start_response)
+        snapshot = self._state.snapshot
+        if snapshot is None:
+            # Before the first view there are no callers or limits to check.
+            problem = self._refusal_before_claim(
+                request, refusal.no_upstream("any call")
+            )
+            return self._send_refusal(request, problem, start_response)
+        caller = self._authenticate(request, snapshot)
         if caller is None:
-            answer = refusal.unauthorized()
-            return self._refuse(request, answer, start_response)
-        refused = self._state.begin(caller)
-        if refused is not None:
-            answer = self._unclaimed(request, refused)
-            return self._refuse(request, answer, start_response)
-        return self._counted(request, caller, known, start_response)
-
-    def _unclaimed(
-        self, request: _Request, answer: refusal.Refusal
+            problem = refusal.unauthorized()
+            return self._send_refusal(request, problem, start_response)
+        problem = self._state.admit_call(caller)
+        if problem is not None:
+            problem = self._refusal_before_claim(request, problem)
+            return self._send_refusal(request, problem, start_response)
+        return self._handle_admitted(request, caller, snapshot, start_response)
+
+    def _refusal_before_claim(
+        self, request: _Request, problem: refusal.Refusal
     ) -> refusal.Refusal:
-        """Returns a refusal that is true for a call with a key too.
+        """Returns the refusal of a call before its claim is looked up.
 
-        This arrival was not run, but an earlier one under the same key may
-        have been, and nobody has been asked.
+        With an idempotency key, `executed` is unknown: this request was not
+        run, but an earlier one with the same key may have been.
         """
         if request.header("HTTP_IDEMPOTENCY_KEY"):
             unknown = refusal.Executed.UNKNOWN
-            return dataclasses.replace(answer, executed=unknown)
-        return answer
+            return dataclasses.replace(problem, executed=unknown)
+        return problem
 
-    def _counted(
+    def _handle_admitted(
         self,
         request: _Request,
         caller: data.Caller,
-        known: state_lib.Known,
+        snapshot: state_lib.Snapshot,
         start_response: Any,
     ) -> Iterator[bytes]:
-        """Answers a call that is counted as open until its last byte."""
+        """Handles an admitted call, which is open until its last byte."""
         try:
-            yield from self._route(request, caller, known, start_response)
+            yield from self._route(request, caller, snapshot, start_response)
         except http_server.SlowBody as error:
-            answer = refusal.Refusal(
+            problem = refusal.Refusal(
                 408,
                 "body-not-received",
                 f"The body was not received ({error})",
                 "Send the whole body without pauses",
             )
-            yield from self._refuse(request, answer, start_response)
+            yield from self._send_refusal(request, problem, start_response)
         finally:
-            self._state.end(caller)
+            self._state.release_call(caller)
 
     def _route(
         self,
         request: _Request,
         caller: data.Caller,
-        known: state_lib.Known,
+        snapshot: state_lib.Snapshot,
         start_response: Any,
     ) -> Iterable[bytes]:
         if request.path == "/v1/models" and request.method == "GET":
-            return self._models(request, caller, known, start_response)
+            return self._handle_model_list(
+                request, caller, snapshot, start_response
+            )
         paths = (model_request.CHAT_PATH, model_request.COMPLETIONS_PATH)
         if request.path in paths and request.method == "POST":
-            return self._model(request, caller, known, start_response)
+            return self._handle_model_call(
+                request, caller, snapshot, start_response
+            )
         match = _SERVICE_PATH.match(request.path)
         if match:
-            return self._service(request, caller, known, match, start_response)
-        answer = refusal.Refusal(
+            return self._handle_service_call(
+                request, caller, snapshot, match, start_response
+            )
+        problem = refusal.Refusal(
             404, "no-such-path", "There is no such path", "See /v1/models"
         )
-        return self._refuse(request, answer, start_response)
+        return self._send_refusal(request, problem, start_response)
 
-    # -- for the platform --------------------------------------------------
+    # -- health and metrics ------------------------------------------------
 
-    def _platform(
+    def _handle_operations(
         self, request: _Request, start_response: Any
     ) -> Iterable[bytes]:
         if request.path == "/metrics":
@@ -184,53 +192,53 @@
                 "sesamecross_open_calls",
                 "Calls open at this entry.",
                 {},
-                self._state.active,
+                self._state.active_calls,
             )
             body, content_type = self._metrics.render()
-            return http_server.answer(
+            return http_server.send_response(
                 start_response, "200 OK", body, content_type
             )
         if request.path == "/healthz":
-            return http_server.answer_json(start_response, {"ok": True})
-        known = self._state.known
-        ready = known is not None and not self._state.stopping
-        return http_server.answer_json(
+            return http_server.send_json(start_response, {"ok": True})
+        snapshot = self._state.snapshot
+        ready = snapshot is not None and not self._state.stopping
+        return http_server.send_json(
             start_response,
-            {"ready": ready, "version": known.version if known else 0},
+            {"ready": ready, "version": snapshot.version if snapshot else 0},
             _status_line(200 if ready else 503),
         )
 
     # -- callers -------------------------------------------------------------
 
-    def _caller(
-        self, request: _Request, known: state_lib.Known
+    def _authenticate(
+        self, request: _Request, snapshot: state_lib.Snapshot
     ) -> data.Caller | None:
         scheme, _, key = request.header("HTTP_AUTHORIZATION").partition(" ")
         if scheme.lower() != "bearer" or not key:
             return None
-        return known.callers.get(digest.of_bearer_key(key.strip()))
+        return snapshot.callers.get(digest.of_bearer_key(key.strip()))
 
-    def _refuse(
+    def _send_refusal(
         self,
         request: _Request,
-        answer: refusal.Refusal,
+        problem: refusal.Refusal,
         start_response: Any,
     ) -> list[bytes]:
         self._metrics.count(
             "sesamecross_refusals_total",
             "Refusals by kind.",
-            {"kind": answer.slug, "executed": answer.executed.value},
+            {"kind": problem.slug, "executed": problem.executed.value},
         )
-        body = answer.body(request.call_id)
+        body = problem.body(request.call_id)
         headers = [
-            *answer.headers(),
+            *problem.headers(),
             ("Content-Length", str(len(body))),
-            (CORRELATION, request.call_id),
+            (CORRELATION_HEADER, request.call_id),
         ]
-        start_response(_status_line(answer.status), headers)
+        start_response(_status_line(problem.status), headers)
         return [body]
 
-    def _whole(
+    def _send_response(
         self,
         request: _Request,
         status: int,
@@ -241,118 +249,134 @@
         headers = [
             ("Content-Type", content_type),
             ("Content-Length", str(len(body))),
-            (CORRELATION, request.call_id),
+            (CORRELATION_HEADER, request.call_id),
         ]
         start_response(_status_line(status), headers)
         return [body]
 
     def _deadline_ms(self, request: _Request) -> int:
-        longest = self._settings.default_deadline_ms
-        wanted = request.number("HTTP_X_DEADLINE_MS")
-        allowed = min(wanted, longest) if wanted else longest
-        return self._clock.monotonic_ms() + allowed
+        max_timeout_ms = self._settings.default_deadline_ms
+        requested_ms = request.int_header("HTTP_X_DEADLINE_MS")
+        timeout_ms = (
+            min(requested_ms, max_timeout_ms)
+            if requested_ms
+            else max_timeout_ms
+        )
+        return self._clock.monotonic_ms() + timeout_ms
 
     # -- models --------------------------------------------------------------
 
-    def _models(
+    def _handle_model_list(
         self,
         request: _Request,
         caller: data.Caller,
-        known: state_lib.Known,
+        snapshot: state_lib.Snapshot,
         start_response: Any,
     ) -> list[bytes]:
-        declared = known.declarations
-        names = [n for n in declared.models if model_request.may_use(caller, n)]
+        declarations = snapshot.declarations
+        names = [
+            n
+            for n in declarations.models
+            if model_request.is_allowed(caller, n)
+        ]
         names += [
             adapter.name
-            for adapter in declared.adapters.values()
-            if model_request.may_use(caller, adapter.name)
-            or model_request.may_use(caller, adapter.model)
+            for adapter in declarations.adapters.values()
+            if model_request.is_allowed(caller, adapter.name)
+            or model_request.is_allowed(caller, adapter.model)
         ]
-        return http_server.answer_json(
-            start_response, answers.model_list(sorted(names))
+        return http_server.send_json(
+            start_response, openai_response.model_list(sorted(names))
         )
 
-    def _model(
+    def _handle_model_call(
         self,
         request: _Request,
         caller: data.Caller,
-        known: state_lib.Known,
+        snapshot: state_lib.Snapshot,
         start_response: Any,
     ) -> Iterable[bytes]:
         body = http_server.read_body(request.environ)
-        parsed = model_request.parse(request.path, body, caller, known)
+        parsed = model_request.parse(request.path, body, caller, snapshot)
         if isinstance(parsed, Failure):
-            return self._refuse(request, parsed.failure(), start_response)
-        wanted = parsed.unwrap()
-        self._state.asked_for(wanted.target)
-        call = self._routing_call(request, caller, wanted, known)
-        relayed = model_call.ModelCall(
+            return self._send_refusal(request, parsed.failure(), start_response)
+        parsed_request = parsed.unwrap()
+        self._state.count_demand(parsed_request.target)
+        call = self._routing_call(request, caller, parsed_request, snapshot)
+        active_call = model_call.ModelCall(
             call,
-            wanted,
-            self._desk,
-            self._pump,
+            parsed_request,
+            self._dispatcher,
+            self._stream_relay,
             self._engines,
             self._recorder,
             self._settings.caller_idle_ms / 1000,
         )
-        return self._relay(request, wanted, relayed, start_response)
+        return self._relay_model_call(
+            request, parsed_request, active_call, start_response
+        )
 
     def _routing_call(
         self,
         request: _Request,
         caller: data.Caller,
-        wanted: model_request.ModelRequest,
-        known: state_lib.Known,
+        parsed_request: model_request.ModelRequest,
+        snapshot: state_lib.Snapshot,
     ) -> routing.Call:
-        promise = known.declarations.promises[wanted.model.promise]
-        asked = request.number("HTTP_X_PRIORITY")
+        promise = snapshot.declarations.promises[parsed_request.model.promise]
+        requested_priority = request.int_header("HTTP_X_PRIORITY")
         priority = promise.priority
-        if asked is not None:
-            # A caller may step back behind its class, never before it.
-            priority = min(_MOST_PRIORITY, max(priority, asked))
+        if requested_priority is not None:
+            # A caller may lower its priority, never raise it.
+            priority = min(_MAX_PRIORITY, max(priority, requested_priority))
         return routing.Call(
             request.call_id,
             caller.name,
-            wanted.target,
+            parsed_request.target,
             promise,
-            wanted.prompt_tokens(),
-            wanted.blocks(),
+            parsed_request.estimate_prompt_tokens(),
+            parsed_request.prompt_block_hashes(),
             self._clock.monotonic_ms(),
             self._deadline_ms(request),
             priority,
         )
 
-    def _relay(
+    def _relay_model_call(
         self,
         request: _Request,
-        wanted: model_request.ModelRequest,
-        relayed: model_call.ModelCall,
+        parsed_request: model_request.ModelRequest,
+        active_call: model_call.ModelCall,
         start_response: Any,
     ) -> Iterator[bytes]:
         try:
-            # The head of the answer is sent with the first events, so that
-            # a refusal before them still has its own status.
-            first = relayed.first()
-            if wanted.stream:
-                yield from self._streamed(
-                    request, wanted, relayed, first, start_response
+            # The status is sent with the first events, so that a refusal
+            # before them still has its own status.
+            first_chunks = active_call.read_first_chunks()
+            if parsed_request.stream:
+                yield from self._stream_response(
+                    request,
+                    parsed_request,
+                    active_call,
+                    first_chunks,
+                    start_response,
                 )
             else:
                 document = sinks.DocumentSink()
-                document.accept(first)
-                relayed.rest(document)
-                body = answers.whole_body(
-                    request.call_id, wanted, document.chunks
+                document.write(first_chunks)
+                active_call.relay_rest(document)
+                body = openai_response.encode_document(
+                    request.call_id, parsed_request, document.chunks
                 )
-                yield from self._whole(
+                yield from self._send_response(
                     request, 200, "application/json", body, start_response
                 )
-        except model_call.Refused as refused:
-            yield from self._refuse(request, refused.answer, start_response)
-        except model_call.EngineError as error:
+        except model_call.CallRefusedError as error:
+            yield from self._send_refusal(
+                request, error.problem, start_response
+            )
+        except model_call.EngineRejectedError as error:
             rejected = error.rejected
-            yield from self._whole(
+            yield from self._send_response(
                 request,
                 rejected.status,
                 rejected.content_type,
@@ -360,57 +384,60 @@
                 start_response,
             )
         finally:
-            relayed.close()
-            self._observe(request, wanted, relayed)
+            active_call.close()
+            self._record_call(request, parsed_request, active_call)
 
-    def _streamed(
+    def _stream_response(
         self,
         request: _Request,
-        wanted: model_request.ModelRequest,
-        relayed: model_call.ModelCall,
-        first: list[answer_validator.Chunk],
+        parsed_request: model_request.ModelRequest,
+        active_call: model_call.ModelCall,
+        first_chunks: list[answer_validator.Chunk],
         start_response: Any,
     ) -> Iterator[bytes]:
         headers = [
-            ("Content-Type", answers.SSE_TYPE),
+            ("Content-Type", openai_response.SSE_TYPE),
             ("Cache-Control", "no-store"),
-            (CORRELATION, request.call_id),
+            (CORRELATION_HEADER, request.call_id),
         ]
         start_response("200 OK", headers)
         connection = request.environ[http_server.CONNECTION]
-        yield answers.event_bytes(first, wanted.wants_usage)
-        # How the answer is framed is known only now that its head is sent.
+        yield openai_response.encode_events(
+            first_chunks, parsed_request.wants_usage
+        )
+        # The framing is only known once the headers are sent.
         sink = sinks.CallerSink(
-            connection.socket, connection.is_chunked, wanted.wants_usage
+            connection.socket, connection.is_chunked, parsed_request.wants_usage
         )
         try:
-            relayed.rest(sink)
-            yield answers.DONE_EVENT
-        except model_call.CallerLeft:
+            active_call.relay_rest(sink)
+            yield openai_response.DONE_EVENT
+        except model_call.CallAbandonedError:
             # Nothing more can be sent on this connection.
             connection.abort()
-        except model_call.Refused as refused:
-            # The head is gone, so the refusal comes as an event, without
-            # the closing mark: no client takes the answer for whole.
-            body = refused.answer.body(request.call_id)
+        except model_call.CallRefusedError as error:
+            # The status is already sent, so the refusal is sent as an event.
+            # Without the final `[DONE]` no client takes the response for
+            # complete.
+            body = error.problem.body(request.call_id)
             yield b"event: error\ndata: " + body + b"\n\n"
         finally:
             sink.close()
 
-    def _observe(
+    def _record_call(
         self,
         request: _Request,
-        wanted: model_request.ModelRequest,
-        relayed: model_call.ModelCall,
+        parsed_request: model_request.ModelRequest,
+        active_call: model_call.ModelCall,
     ) -> None:
-        labels = {"model": wanted.model.name}
+        labels = {"model": parsed_request.model.name}
         self._logger.info(
             "call ended",
             correlation_id=request.call_id,
-            target=wanted.target,
-            tokens=relayed.tokens,
-            attempts=relayed.attempts,
-            seconds=round(time.monotonic() - request.began_s, 3),
+            target=parsed_request.target,
+            tokens=active_call.tokens,
+            attempts=active_call.attempts,
+            seconds=round(time.monotonic() - request.started_s, 3),
         )
         self._metrics.count(
             "sesamecross_model_calls_total", "Calls to models.", labels
@@ -419,39 +446,41 @@
             "sesamecross_tokens_total",
             "Tokens relayed to callers.",
             labels,
-            relayed.tokens,
+            active_call.tokens,
         )
-        if relayed.first_s is not None:
+        if active_call.first_token_s is not None:
             self._metrics.observe(
                 "sesamecross_first_token_seconds",
                 "From the request's head to the first token.",
                 labels,
-                relayed.first_s - request.began_s,
+                active_call.first_token_s - request.started_s,
             )
 
     # -- services ------------------------------------------------------------
 
-    def _service(
+    def _handle_service_call(
         self,
         request: _Request,
         caller: data.Caller,
-        known: state_lib.Known,
+        snapshot: state_lib.Snapshot,
         match: re.Match,
         start_response: Any,
     ) -> list[bytes]:
         name = match.group(1)
-        service = known.declarations.services.get(name)
-        allowed = data.WILDCARD in caller.services or name in caller.services
-        if service is None or not allowed:
-            answer = refusal.forbidden(f"Service {name}")
-            return self._refuse(request, answer, start_response)
+        service = snapshot.declarations.services.get(name)
+        is_permitted = (
+            data.WILDCARD in caller.services or name in caller.services
+        )
+        if service is None or not is_permitted:
+            problem = refusal.forbidden(f"Service {name}")
+            return self._send_refusal(request, problem, start_response)
         key = request.header("HTTP_IDEMPOTENCY_KEY")
         if len(key) > service_call.MAX_KEY_CHARS:
-            answer = refusal.bad_request(
+            problem = refusal.bad_request(
                 "The Idempotency-Key is too long",
                 f"Use at most {service_call.MAX_KEY_CHARS} characters",
             )
-            return self._refuse(request, answer, start_response)
+            return self._send_refusal(request, problem, start_response)
         outcome = self._services.call(
             service_call.ServiceRequest(
                 request.call_id,
@@ -459,7 +488,7 @@
                 service,
                 request.method,
                 _path_and_query(match, request),
-                _passed_headers(request),
+                _forwarded_headers(request),
                 http_server.read_body(request.environ),
                 key,
                 self._deadline_ms(request),
@@ -483,14 +512,14 @@
                 call_id=request.call_id,
                 model=name,
             )
-            return self._refuse(request, outcome, start_response)
+            return self._send_refusal(request, outcome, start_response)
         self._recorder.add(
             timeline.EventKind.CALL,
             f"{request.method} answered {outcome.status}",
             call_id=request.call_id,
             model=name,
         )
-        return self._whole(
+        return self._send_response(
             request,
             outcome.status,
             outcome.content_type,
@@ -505,11 +534,11 @@
     return f"{path}?{query}" if query else path
 
 
-def _passed_headers(request: _Request) -> tuple[tuple[str, str], ...]:
-    passed = []
-    for name in _HEADERS_PASSED:
+def _forwarded_headers(request: _Request) -> tuple[tuple[str, str], ...]:
+    forwarded = []
+    for name in _FORWARDED_HEADERS:
         value = request.header(name)
         if value:
             title = name.removeprefix("HTTP_").replace("_", "-").title()
-            passed.append((title, value))
-    return tuple(passed)
+            forwarded.append((title, value))
+    return tuple(forwarded)
--- a/sesamecross/entry/model_call.py
+++ b/sesamecross/entry/model_call.py
@@ -1,17 +1,18 @@
-"""Relays one call to a model: attempts, resume, and what the caller sees.
+"""Relays one call to a model, with retries and resumption.
 
-Why: an upstream that dies in the middle of an answer must not show. Tokens
-are counted as they are passed on; the next attempt goes on behind them, and
-the caller gets each token once and in order, or a truthful end.
+The caller must not notice an upstream that fails in the middle of a response.
+Relayed tokens are counted and the next attempt resumes after them, so the
+caller gets each token once and in order, or an error that says whether the
+call may have run.
 """
 
 import time
 
 from sesamecross.core import refusal
-from sesamecross.entry import model_desk
+from sesamecross.entry import model_dispatcher
 from sesamecross.entry import model_request
-from sesamecross.entry import pump as pump_lib
 from sesamecross.entry import sinks
+from sesamecross.entry import stream_relay as stream_relay_lib
 from sesamecross.ops import answer_validator
 from sesamecross.ops import dispatch
 from sesamecross.ops import estimates
@@ -21,134 +22,143 @@
 from sesamecross.ports import engine_stream
 from sesamecross.ports import http_client
 
-# An engine that is silent for this long in the middle of an answer is given
-# up, and the call goes on elsewhere.
-STALL_S = 10.0
+# An attempt whose engine sends nothing for this long is abandoned, and the
+# call is retried elsewhere.
+ENGINE_IDLE_TIMEOUT_S = 10.0
 
 
-class Refused(Exception):
-    """The call gets a refusal as its final answer."""
+class CallRefusedError(Exception):
+    """The call ends with a refusal.
 
-    def __init__(self, answer: refusal.Refusal):
-        super().__init__(answer.title)
-        self.answer = answer
+    Attributes:
+      problem: The refusal for the caller.
+    """
+
+    def __init__(self, problem: refusal.Refusal):
+        super().__init__(problem.title)
+        self.problem = problem
 
 
-class EngineError(Exception):
-    """The engine's own error is the call's final answer."""
+class EngineRejectedError(Exception):
+    """The call ends with an error response of the engine.
+
+    Attributes:
+      rejected: The engine's response.
+    """
 
     def __init__(self, rejected: engine_stream.Rejected):
         super().__init__(f"HTTP {rejected.status}")
         self.rejected = rejected
 
 
-class CallerLeft(Exception):
-    """Nobody waits for the answer any more."""
+class CallAbandonedError(Exception):
+    """The caller disconnected or does not read the response."""
 
 
 class ModelCall:
     """One call, from submission to its end. Used by one thread.
 
-    `first` gives the first events, `rest` moves all that follow into a sink;
-    `close` must be called in the end, whatever happened.
+    `read_first_chunks` returns the first events, `relay_rest` writes all
+    further events to a sink. `close` must be called in every case.
     """
 
     def __init__(
         self,
         call: routing.Call,
         request: model_request.ModelRequest,
-        desk: model_desk.ModelDesk,
-        pump: pump_lib.Pump,
+        dispatcher: model_dispatcher.ModelDispatcher,
+        stream_relay: stream_relay_lib.StreamRelay,
         engines: engine_http.HttpEngine,
         recorder: timeline.Recorder,
-        caller_idle_s: float,
+        caller_idle_timeout_s: float,
     ):
         self._call = call
         self._request = request
-        self._desk = desk
-        self._pump = pump
+        self._dispatcher = dispatcher
+        self._stream_relay = stream_relay
         self._engines = engines
         self._recorder = recorder
-        self._caller_idle_s = caller_idle_s
-        self._check = answer_validator.AnswerValidator(call.call_id)
-        self._began_s = time.monotonic()
+        self._caller_idle_timeout_s = caller_idle_timeout_s
+        self._validator = answer_validator.AnswerValidator(call.call_id)
+        self._started_s = time.monotonic()
         self._dispatch: dispatch.Dispatch | None = None
         self._stream: engine_stream.EngineStream | None = None
-        self._first_s: float | None = None
-        self._last_s = 0.0
-        self._ended = False
+        self._first_token_s: float | None = None
+        self._last_token_s = 0.0
+        self._is_ended = False
         self.attempts = 0
 
     @property
     def tokens(self) -> int:
-        """Tokens passed on so far."""
-        return self._check.tokens
+        """Number of tokens relayed so far."""
+        return self._validator.tokens
 
     @property
-    def first_s(self) -> float | None:
-        """Monotonic seconds at the first token, if there was one."""
-        return self._first_s
+    def first_token_s(self) -> float | None:
+        """Monotonic time of the first token in seconds; None before it."""
+        return self._first_token_s
 
-    def first(self) -> list[answer_validator.Chunk]:
-        """Returns the first events of the answer.
+    def read_first_chunks(self) -> list[answer_validator.Chunk]:
+        """Returns the first events of the response.
 
         Raises:
-          Refused: No answer can be had.
-          EngineError: The engine refuses the call as such.
+          CallRefusedError: The call was refused or all attempts failed.
+          EngineRejectedError: The engine rejected the call itself.
         """
-        self._desk.submit(self._call)
+        self._dispatcher.submit(self._call)
         while True:
             self._stream = self._next_stream()
-            chunks = self._first_of(self._stream)
+            chunks = self._read_first_chunks(self._stream)
             if chunks:
-                self._desk.first_token(self._call.call_id)
+                self._dispatcher.first_token(self._call.call_id)
                 return chunks
 
-    def rest(self, sink: sinks.Sink) -> None:
-        """Moves all further events into `sink`.
+    def relay_rest(self, sink: sinks.Sink) -> None:
+        """Writes all further events to `sink`.
 
         Raises:
-          Refused: The answer can't be brought to its end.
-          CallerLeft: The caller went away; the engine has been told.
+          CallRefusedError: The response can't be completed.
+          CallAbandonedError: The caller disconnected; `close` cancels the
+            call at the engine.
         """
         while True:
             if self._stream is None:
                 self._stream = self._next_stream()
-            transfer = pump_lib.Transfer(
+            transfer = stream_relay_lib.Transfer(
                 self._stream,
-                self._check,
+                self._validator,
                 sink,
-                STALL_S,
-                self._caller_idle_s,
+                ENGINE_IDLE_TIMEOUT_S,
+                self._caller_idle_timeout_s,
                 self._call.deadline_ms / 1000,
             )
-            ending = self._pump.move(transfer)
-            self._first_s = self._first_s or transfer.first_s
-            self._last_s = max(self._last_s, transfer.last_token_s)
+            result = self._stream_relay.run_transfer(transfer)
+            self._first_token_s = self._first_token_s or transfer.first_token_s
+            self._last_token_s = max(self._last_token_s, transfer.last_token_s)
             self._stream.close()
             self._stream = None
-            match ending:
-                case pump_lib.Finished():
-                    self._finish()
+            match result:
+                case stream_relay_lib.Completed():
+                    self._complete()
                     return
-                case pump_lib.CallerLeft(reason=reason):
-                    raise CallerLeft(reason)
-                case pump_lib.Interrupted(reason=reason):
-                    self._failed(dispatch.MayHaveRun(), reason)
+                case stream_relay_lib.CallerDisconnected(reason=reason):
+                    raise CallAbandonedError(reason)
+                case stream_relay_lib.Interrupted(reason=reason):
+                    self._report_failure(dispatch.MayHaveRun(), reason)
 
     def close(self) -> None:
-        """Gives back whatever the call still holds."""
-        if self._ended:
+        """Cancels the call at the engine, unless the call has ended."""
+        if self._is_ended:
             return
-        self._ended = True
+        self._is_ended = True
         if self._stream is not None:
             self._stream.close()
         upstream = ""
         if self._dispatch is not None:
             upstream = self._dispatch.upstream
             self._engines.cancel(self._dispatch.url, self._call.call_id)
-        self._desk.abandoned(self._call.call_id)
-        self._note(
+        self._dispatcher.abandoned(self._call.call_id)
+        self._record_event(
             timeline.EventKind.CALL,
             f"caller left after {self.tokens} tokens, engine is told",
             upstream,
@@ -157,31 +167,31 @@
     # -- attempts --------------------------------------------------------
 
     def _next_stream(self) -> engine_stream.EngineStream:
-        """Waits for a dispatch and opens it, through failures."""
+        """Waits for dispatches until the stream of one can be opened."""
         while True:
-            action = self._desk.next_action(self._call.call_id)
+            action = self._dispatcher.next_action(self._call.call_id)
             if isinstance(action, dispatch.Refuse):
-                self._refused(action.refusal)
+                self._raise_refusal(action.refusal)
             self._dispatch = action
             self.attempts = action.attempt
-            self._note_route(action)
+            self._record_route(action)
             if action.backoff_ms:
                 time.sleep(action.backoff_ms / 1000)
-            stream = self._open(action)
+            stream = self._open_stream(action)
             if stream is not None:
                 return stream
 
-    def _refused(self, answer: refusal.Refusal) -> None:
-        self._ended = True
-        self._desk.forget(self._call.call_id)
-        self._note(
+    def _raise_refusal(self, problem: refusal.Refusal) -> None:
+        self._is_ended = True
+        self._dispatcher.discard_mailbox(self._call.call_id)
+        self._record_event(
             timeline.EventKind.REFUSAL,
-            f"{answer.slug}, executed {answer.executed.value}",
+            f"{problem.slug}, executed {problem.executed.value}",
             "",
         )
-        raise Refused(answer)
+        raise CallRefusedError(problem)
 
-    def _open(
+    def _open_stream(
         self, action: dispatch.Dispatch
     ) -> engine_stream.EngineStream | None:
         opened = engine_stream.EngineStream.open(self._engine_request(action))
@@ -189,11 +199,11 @@
             case engine_stream.EngineStream():
                 return opened
             case http_client.NotSent(reason=reason):
-                self._failed(dispatch.NotRun(), reason)
+                self._report_failure(dispatch.NotRun(), reason)
             case http_client.Failed(reason=reason):
-                self._failed(dispatch.MayHaveRun(), reason)
+                self._report_failure(dispatch.MayHaveRun(), reason)
             case engine_stream.Rejected() as rejected:
-                self._rejected(rejected)
+                self._handle_rejection(rejected)
         return None
 
     def _engine_request(
@@ -201,8 +211,8 @@
     ) -> engine_stream.CallRequest:
         generated = ""
         resume_after = self.tokens
-        if self._check.ignores_event_ids and self.tokens:
-            generated = self._check.text
+        if self._validator.ignores_event_ids and self.tokens:
+            generated = self._validator.text
             resume_after = 0
         left_s = self._call.deadline_ms / 1000 - time.monotonic()
         return engine_stream.CallRequest(
@@ -211,23 +221,29 @@
             self._request.engine_body(generated, self.tokens),
             self._call.call_id,
             self._call.priority,
-            max(0.05, min(STALL_S, left_s)),
+            max(0.05, min(ENGINE_IDLE_TIMEOUT_S, left_s)),
             resume_after,
         )
 
-    def _first_of(
+    def _read_first_chunks(
         self, stream: engine_stream.EngineStream
     ) -> list[answer_validator.Chunk]:
-        """Waits for the attempt's first events; none if it failed."""
+        """Waits for the attempt's first events; empty if it failed."""
         try:
             while not stream.ended:
                 left_s = self._call.deadline_ms / 1000 - time.monotonic()
-                events = stream.read(max(0.05, min(STALL_S, left_s)))
-                taken = [self._check.process_event(event) for event in events]
-                chunks = [chunk for chunk in taken if chunk is not None]
+                events = stream.read(
+                    max(0.05, min(ENGINE_IDLE_TIMEOUT_S, left_s))
+                )
+                validated = [
+                    self._validator.process_event(event) for event in events
+                ]
+                chunks = [chunk for chunk in validated if chunk is not None]
                 if chunks:
                     if self.tokens:
-                        self._first_s = self._last_s = time.monotonic()
+                        self._first_token_s = self._last_token_s = (
+                            time.monotonic()
+                        )
                     return chunks
             reason = "the answer ended early"
         except (
@@ -237,67 +253,82 @@
             reason = str(error)
         stream.close()
         self._stream = None
-        self._failed(dispatch.MayHaveRun(), reason)
+        self._report_failure(dispatch.MayHaveRun(), reason)
         return []
 
-    def _rejected(self, rejected: engine_stream.Rejected) -> None:
+    def _handle_rejection(self, rejected: engine_stream.Rejected) -> None:
         if rejected.not_run == "leaving":
-            self._failed(dispatch.NotRun(leaving=True), "leaving")
+            self._report_failure(dispatch.NotRun(leaving=True), "leaving")
         elif rejected.not_run == "not-resident":
-            self._failed(dispatch.NotRun(absent=True), "not resident")
+            self._report_failure(dispatch.NotRun(absent=True), "not resident")
         elif rejected.status == 400 and self.tokens:
-            # This engine can't resume: the next attempt repeats the prompt
-            # with the text that the caller has.
-            self._check.ignores_event_ids = True
-            self._failed(dispatch.MayHaveRun(), "can't resume")
+            # The engine can't resume by event id: the next attempt appends
+            # the text that the caller already has to the prompt.
+            self._validator.ignores_event_ids = True
+            self._report_failure(dispatch.MayHaveRun(), "can't resume")
         elif rejected.status == 429 or rejected.status >= 500:
-            self._failed(dispatch.MayHaveRun(), f"HTTP {rejected.status}")
+            self._report_failure(
+                dispatch.MayHaveRun(), f"HTTP {rejected.status}"
+            )
         else:
-            self._end_with(False, "ended by the engine's error")
-            raise EngineError(rejected)
+            self._end_call(False, "ended by the engine's error")
+            raise EngineRejectedError(rejected)
 
-    def _failed(self, failure: dispatch.FailureKind, reason: str) -> None:
-        self._note(
+    def _report_failure(
+        self, failure: dispatch.FailureKind, reason: str
+    ) -> None:
+        self._record_event(
             timeline.EventKind.RETRY,
             f"attempt {self.attempts} failed: {reason}",
             self._dispatch.upstream,
         )
-        self._desk.failed(self._call.call_id, failure)
+        self._dispatcher.failed(self._call.call_id, failure)
 
-    # -- ends ------------------------------------------------------------
+    # -- end of the call and events --------------------------------------
 
-    def _finish(self) -> None:
-        self._end_with(
+    def _complete(self) -> None:
+        self._end_call(
             True, f"answered, {self.tokens} tokens, {self.attempts} attempts"
         )
 
-    def _end_with(self, complete: bool, what: str) -> None:
-        self._ended = True
-        self._desk.finished(self._call.call_id, self._seen(), complete)
-        self._note(timeline.EventKind.CALL, what, self._dispatch.upstream)
+    def _end_call(self, complete: bool, what: str) -> None:
+        self._is_ended = True
+        self._dispatcher.finished(
+            self._call.call_id, self._observation(), complete
+        )
+        self._record_event(
+            timeline.EventKind.CALL, what, self._dispatch.upstream
+        )
 
-    def _seen(self) -> estimates.Observation:
+    def _observation(self) -> estimates.Observation:
         between_ms = None
         first_ms = None
-        if self._first_s is not None:
+        if self._first_token_s is not None:
             if self.tokens > 1:
-                span_ms = (self._last_s - self._first_s) * 1000
+                span_ms = (self._last_token_s - self._first_token_s) * 1000
                 between_ms = span_ms / (self.tokens - 1)
             if self.attempts == 1:
-                first_ms = (self._first_s - self._began_s) * 1000
-        whole_ms = (time.monotonic() - self._began_s) * 1000
+                first_ms = (self._first_token_s - self._started_s) * 1000
+        whole_ms = (time.monotonic() - self._started_s) * 1000
         return estimates.Observation(
-            0.0, 0.0, first_ms, between_ms, whole_ms, self._check.cached_tokens
+            0.0,
+            0.0,
+            first_ms,
+            between_ms,
+            whole_ms,
+            self._validator.cached_tokens,
         )
 
-    def _note(self, kind: timeline.EventKind, what: str, upstream: str) -> None:
+    def _record_event(
+        self, kind: timeline.EventKind, what: str, upstream: str
+    ) -> None:
         self._recorder.add(
             kind, what, self._call.call_id, self._call.target, upstream
         )
 
-    def _note_route(self, action: dispatch.Dispatch) -> None:
+    def _record_route(self, action: dispatch.Dispatch) -> None:
         chosen = action.chosen
-        self._note(
+        self._record_event(
             timeline.EventKind.ROUTE,
             f"attempt {action.attempt}, estimates first"
             f" {chosen.first_ms:.0f} ms, between {chosen.between_ms:.0f} ms,"
--- a/sesamecross/entry/answers.py
+++ b/sesamecross/entry/openai_response.py
@@ -1,4 +1,4 @@
-"""Shapes a relayed answer as OpenAI-style clients expect it."""
+"""Encodes responses in the format of OpenAI's API."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -12,10 +12,13 @@
 DONE_EVENT = b"data: [DONE]\n\n"
 
 
-def event_bytes(
+def encode_events(
     chunks: Iterable[answer_validator.Chunk], wants_usage: bool
 ) -> bytes:
-    """Returns events as a streaming caller should get them."""
+    """Returns chunks as server-sent events.
+
+    The closing usage event is left out unless the caller asked for it.
+    """
     return b"".join(
         b"data: " + chunk.data + b"\n\n"
         for chunk in chunks
@@ -23,12 +26,12 @@
     )
 
 
-def whole_body(
+def encode_document(
     call_id: str,
     request: model_request.ModelRequest,
     chunks: Iterable[answer_validator.Chunk],
 ) -> bytes:
-    """Returns the one document of a call that is not streamed."""
+    """Returns the JSON document of a call that is not streamed."""
     text: list[str] = []
     finish_reason = "stop"
     usage = None
@@ -45,13 +48,13 @@
     }
     if request.is_chat:
         choice["message"] = {"role": "assistant", "content": "".join(text)}
-        kind = "chat.completion"
+        object_type = "chat.completion"
     else:
         choice["text"] = "".join(text)
-        kind = "text_completion"
+        object_type = "text_completion"
     document = {
         "id": call_id,
-        "object": kind,
+        "object": object_type,
         "created": created,
         "model": request.target,
         "choices": [choice],
@@ -61,7 +64,7 @@
 
 
 def model_list(names: list[str]) -> dict[str, Any]:
-    """Returns the document of `/v1/models`."""
+    """Returns the response document of `/v1/models`."""
     models = [
         {
             "id": name,
--- a/sesamecross/entry/service_call.py
+++ b/sesamecross/entry/service_call.py
@@ -1,9 +1,10 @@
-"""Relays calls to plain services; those that may not be repeated run once.
+"""Relays calls to plain services. Non-idempotent calls run at most once.
 
-Why: a pass log that runs twice bills machine hours twice, and one that is
-lost takes a volunteer's night off the record. A call with an idempotency key
-is claimed before its first byte leaves; without a key it is dispatched once
-and never retried after a byte has left.
+Running such a call twice, or losing it, corrupts records: a pass log that runs
+twice bills machine hours twice, and a lost one leaves a volunteer's night
+unrecorded. A call with an idempotency key is claimed before its first byte is
+sent. Without a key it is dispatched once, and never retried after a byte was
+sent.
 """
 
 from collections.abc import Callable
@@ -27,16 +28,22 @@
 from sesamecross.ports import service_http
 
 MAX_ATTEMPTS = 3
-# While the first arrival of a claimed call runs, a second one waits for its
-# answer up to this long before it is told to come back.
-FOLLOW_MS = 3000
-FOLLOW_STEP_S = 0.05
+# A request whose key is claimed by a call in progress waits this long for that
+# call's answer before it is told to retry later.
+IN_PROGRESS_WAIT_MS = 3000
+IN_PROGRESS_POLL_S = 0.05
 MAX_KEY_CHARS = 255
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceRequest:
-    """A caller's call to a plain service."""
+    """A caller's call to a plain service.
+
+    Attributes:
+      path: The path and query at the service.
+      idempotency_key: The caller's key; empty if it sent none.
+      deadline_ms: The deadline, on the monotonic clock.
+    """
 
     call_id: str
     caller: data.Caller
@@ -49,7 +56,7 @@
     deadline_ms: int
 
     def digest(self) -> str:
-        """Returns what tells a repeated call from another one."""
+        """Returns a digest that is equal for repetitions of a call."""
         text = f"{self.method}\0{self.path}\0".encode()
         return xxhash.xxh3_128_hexdigest(text + self.body)
 
@@ -57,8 +64,8 @@
 Outcome = data.Answer | refusal.Refusal
 
 
-class ServiceDesk:
-    """Dispatches service calls. Safe for threads."""
+class ServiceDispatcher:
+    """Dispatches service calls. Thread-safe."""
 
     def __init__(
         self,
@@ -81,35 +88,35 @@
         self._lock = threading.Lock()
 
     def call(self, request: ServiceRequest) -> Outcome:
-        """Returns the service's answer or a truthful refusal."""
+        """Returns the service's answer, or a refusal."""
         idempotent = service_routing.is_idempotent(
             request.service, request.method, request.path
         )
         if idempotent:
-            return self._with_retries(request)
+            return self._call_with_retries(request)
         if request.idempotency_key:
-            return self._claimed(request)
-        outcome, _ = self._once(request, idempotent=False)
+            return self._call_with_claim(request)
+        outcome, _ = self._attempt(request, idempotent=False)
         return outcome
 
-    # -- calls that may be repeated --------------------------------------
+    # -- idempotent calls ------------------------------------------------
 
-    def _with_retries(self, request: ServiceRequest) -> Outcome:
+    def _call_with_retries(self, request: ServiceRequest) -> Outcome:
         excluded: set[str] = set()
         attempt = 0
         while True:
             attempt += 1
-            outcome, failed_at = self._once(
+            outcome, failed_upstream = self._attempt(
                 request, idempotent=True, excluded=frozenset(excluded)
             )
-            if not failed_at:
+            if not failed_upstream:
                 with self._lock:
                     self._budget.succeeded()
                 return outcome
-            excluded.add(failed_at)
+            excluded.add(failed_upstream)
             if not self._may_retry(request, attempt):
                 return outcome
-            self._note_retry(request, attempt, failed_at)
+            self._record_retry(request, attempt, failed_upstream)
             time.sleep(retry.backoff_ms(attempt, self._rng) / 1000)
 
     def _may_retry(self, request: ServiceRequest, attempt: int) -> bool:
@@ -122,7 +129,7 @@
 
     # -- one attempt -----------------------------------------------------
 
-    def _once(
+    def _attempt(
         self,
         request: ServiceRequest,
         idempotent: bool,
@@ -131,18 +138,18 @@
         """Makes one attempt.
 
         Returns:
-          The outcome, and the upstream's name where it failed there.
+          The outcome, and the name of the upstream if the attempt failed.
         """
-        known = self._state.known
-        # The service may have been declared anew since the call came.
-        service = known.declarations.services.get(
+        snapshot = self._state.snapshot
+        # The service's declaration may have changed since the call arrived.
+        service = snapshot.declarations.services.get(
             request.service.name, request.service
         )
         with self._lock:
             upstream = self._router.choose(
                 service,
-                known.declarations.upstreams,
-                known.draining,
+                snapshot.declarations.upstreams,
+                snapshot.draining,
                 excluded,
                 self._clock.monotonic_ms(),
             )
@@ -153,12 +160,12 @@
         answer = self._services.call(
             self._service_call(request, upstream), idempotent
         )
-        ok = isinstance(answer, data.Answer)
+        answered = isinstance(answer, data.Answer)
         with self._lock:
             self._router.call_ended(
-                upstream.name, ok, self._clock.monotonic_ms()
+                upstream.name, answered, self._clock.monotonic_ms()
             )
-        return self._outcome(request, answer), "" if ok else upstream.name
+        return self._outcome(request, answer), "" if answered else upstream.name
 
     def _service_call(
         self, request: ServiceRequest, upstream: data.Upstream
@@ -187,8 +194,8 @@
                 return refusal.upstream_failed(
                     refusal.Executed.NO, "The call was not sent; try again"
                 )
-        late = self._clock.monotonic_ms() >= request.deadline_ms
-        if late:
+        is_past_deadline = self._clock.monotonic_ms() >= request.deadline_ms
+        if is_past_deadline:
             return refusal.deadline_passed(refusal.Executed.UNKNOWN)
         return refusal.upstream_failed(
             refusal.Executed.UNKNOWN,
@@ -197,7 +204,7 @@
 
     # -- calls that run at most once -------------------------------------
 
-    def _claimed(self, request: ServiceRequest) -> Outcome:
+    def _call_with_claim(self, request: ServiceRequest) -> Outcome:
         claim = records.ClaimMade(
             request.call_id,
             request.caller.name,
@@ -210,82 +217,82 @@
         if verdict is None:
             return refusal.claims_unavailable(refusal.Executed.UNKNOWN)
         if verdict.state is data.ClaimState.WON:
-            return self._run_claimed(request, claim)
-        return self._follow(request, claim, verdict)
+            return self._run_claimed_call(request, claim)
+        return self._wait_for_outcome(request, claim, verdict)
 
-    def _run_claimed(
+    def _run_claimed_call(
         self, request: ServiceRequest, claim: records.ClaimMade
     ) -> Outcome:
-        """Dispatches a won claim once and writes down what became of it."""
+        """Runs a call whose claim was won, and settles the claim."""
         excluded: set[str] = set()
         while True:
-            outcome, failed_at = self._once(
+            outcome, failed_upstream = self._attempt(
                 request, idempotent=False, excluded=frozenset(excluded)
             )
             not_sent = (
                 isinstance(outcome, refusal.Refusal)
                 and outcome.executed is refusal.Executed.NO
             )
-            if not (not_sent and failed_at):
+            if not (not_sent and failed_upstream):
                 break
-            # Nothing left this process, so another upstream may be tried
-            # under the same claim.
-            excluded.add(failed_at)
-        self._settle(claim, outcome, executed=not not_sent)
+            # Nothing was sent, so another upstream may be tried under the
+            # same claim.
+            excluded.add(failed_upstream)
+        self._settle_claim(claim, outcome, executed=not not_sent)
         return outcome
 
-    def _settle(
+    def _settle_claim(
         self, claim: records.ClaimMade, outcome: Outcome, executed: bool
     ) -> None:
         answer = outcome if isinstance(outcome, data.Answer) else None
-        bound = self._state.known.declarations.claims.answer_bytes
-        if answer is not None and len(answer.body) > bound:
+        max_answer_bytes = self._state.snapshot.declarations.claims.answer_bytes
+        if answer is not None and len(answer.body) > max_answer_bytes:
             answer = None
         self._link.settle(
             records.ClaimSettled(claim.claim_id, executed, answer)
         )
 
-    def _follow(
+    def _wait_for_outcome(
         self,
         request: ServiceRequest,
         claim: records.ClaimMade,
         verdict: data.ClaimVerdict,
     ) -> Outcome:
-        """Waits for the first arrival's answer, within bounds."""
+        """Waits a bounded time for the answer of the call with the claim."""
         now_ms = self._clock.monotonic_ms()
-        until_ms = min(request.deadline_ms, now_ms + FOLLOW_MS)
+        wait_until_ms = min(request.deadline_ms, now_ms + IN_PROGRESS_WAIT_MS)
         while verdict.state is data.ClaimState.IN_PROGRESS:
-            if self._clock.monotonic_ms() >= until_ms:
+            if self._clock.monotonic_ms() >= wait_until_ms:
                 return refusal.in_progress()
-            time.sleep(FOLLOW_STEP_S)
+            time.sleep(IN_PROGRESS_POLL_S)
             verdict = self._link.look_up(claim) or verdict
-        return _answer_of(verdict)
+        return _outcome_of_verdict(verdict)
 
-    def _note_retry(
-        self, request: ServiceRequest, attempt: int, failed_at: str
+    def _record_retry(
+        self, request: ServiceRequest, attempt: int, failed_upstream: str
     ) -> None:
         self._recorder.add(
             timeline.EventKind.RETRY,
             f"attempt {attempt} failed",
             call_id=request.call_id,
             model=request.service.name,
-            upstream=failed_at,
+            upstream=failed_upstream,
         )
 
 
-def _not_claimed() -> refusal.Refusal:
+def _claims_unavailable() -> refusal.Refusal:
     return refusal.claims_unavailable(refusal.Executed.NO)
 
 
 _VERDICT_REFUSALS: dict[data.ClaimState, Callable[[], refusal.Refusal]] = {
-    data.ClaimState.NOT_CLAIMED: _not_claimed,
+    data.ClaimState.NOT_CLAIMED: _claims_unavailable,
     data.ClaimState.IN_PROGRESS: refusal.in_progress,
     data.ClaimState.UNKNOWN: refusal.outcome_unknown,
     data.ClaimState.MISMATCH: refusal.key_reused,
 }
 
 
-def _answer_of(verdict: data.ClaimVerdict) -> Outcome:
+def _outcome_of_verdict(verdict: data.ClaimVerdict) -> Outcome:
     if verdict.state is data.ClaimState.SETTLED:
         return verdict.answer
     return _VERDICT_REFUSALS[verdict.state]()
--- a/sesamecross/entry/service_call_test.py
+++ b/sesamecross/entry/service_call_test.py
@@ -1,4 +1,4 @@
-"""Tests of calls to plain services while declarations change."""
+"""Tests of service calls while declarations change."""
 
 import random
 
@@ -22,7 +22,7 @@
 ANSWER = data.Answer(200, "text/plain", b"done")
 
 
-def known(upstreams):
+def snapshot(upstreams):
     tree = {
         "regions": {"r": {}},
         "zones": {"z": {"region": "r"}},
@@ -36,11 +36,11 @@
         del tree["services"]
     parsed = declarations.parse(tree)
     assert parsed.declarations is not None, parsed
-    return state_lib.Known(1, parsed.declarations, {}, frozenset(), True)
+    return state_lib.Snapshot(1, parsed.declarations, {}, frozenset(), True)
 
 
-class Link:
-    """Lets a new view come while a claim is decided."""
+class FakeStewardLink:
+    """Replaces the snapshot while a claim is decided."""
 
     def __init__(self, state, after):
         self._state = state
@@ -48,15 +48,15 @@
         self.settled = []
 
     def claim(self, claim):
-        self._state._known = self._after
+        self._state._snapshot = self._after
         return data.ClaimVerdict(data.ClaimState.WON, claim.claim_id)
 
     def settle(self, settled):
         self.settled.append(settled)
 
 
-class Services:
-    """Answers every call and notes where it went."""
+class FakeService:
+    """Answers every call and records its URL."""
 
     def __init__(self):
         self.urls = []
@@ -72,19 +72,19 @@
     ids=["service removed", "upstream replaced"],
 )
 def test_a_claimed_call_outlives_a_change_of_its_service(after, urls, executed):
-    """An order was cut off, and its key was held as in progress for ever.
+    """A call was aborted, and its key stayed in progress forever.
 
-    Its claim had just been won when a configuration removed the upstream that
-    the service had when the order arrived. The choice stumbled over the name,
-    and the error left the claim unsettled. The newest declaration is asked
-    now, and names that it lacks are passed over.
+    Just after its claim was won, a configuration removed the upstream that the
+    service had when the call arrived. The lookup of the name raised an error
+    that left the claim unsettled. Routing must use the newest declaration and
+    skip names that it lacks.
     """
     recorder = timeline.Recorder("e", "z", clock.ManualClock(1000))
     state = state_lib.EntryState(recorder)
-    state._known = known(["a"])
-    link = Link(state, known(after))
-    services = Services()
-    desk = service_call.ServiceDesk(
+    state._snapshot = snapshot(["a"])
+    link = FakeStewardLink(state, snapshot(after))
+    services = FakeService()
+    dispatcher = service_call.ServiceDispatcher(
         "z",
         state,
         link,
@@ -93,8 +93,8 @@
         recorder,
         random.Random(1),
     )
-    service = state.known.declarations.services["orders"]
-    outcome = desk.call(
+    service = state.snapshot.declarations.services["orders"]
+    outcome = dispatcher.call(
         service_call.ServiceRequest(
             "call", CALLER, service, "POST", "/", (), b"", "key", 10**9
         )
--- a/sesamecross/entry/state.py
+++ b/sesamecross/entry/state.py
@@ -1,7 +1,7 @@
-"""What an entry knows: declarations, callers, drains, and its own state.
+"""An entry's state: declarations, callers, drain marks and open calls.
 
-Why: threads that serve calls read this without locks; each view replaces the
-whole record at once, so a call never sees half of a change.
+Threads that serve calls read the snapshot without a lock. Each view replaces it
+as a whole, so that no call sees a partial change.
 """
 
 import dataclasses
@@ -15,8 +15,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Known:
-    """One consistent state of what the steward told."""
+class Snapshot:
+    """A consistent state received from the steward.
+
+    Attributes:
+      callers: The callers by the digest of their key.
+      draining: Names of the upstreams with a drain mark.
+    """
 
     version: int
     declarations: data.Declarations
@@ -26,114 +31,116 @@
 
 
 class EntryState:
-    """The entry's current knowledge and its open calls."""
+    """The current snapshot, admission of calls, and demand counts."""
 
     __slots__ = (
-        "_known",
+        "_snapshot",
         "_lock",
-        "_active",
-        "_of_caller",
+        "_active_calls",
+        "_active_calls_by_caller",
         "_demand",
         "_recorder",
         "_logger",
-        "_refusing",
+        "_is_admission_stopped",
         "stopping",
     )
 
     def __init__(self, recorder: timeline.Recorder):
-        self._known: Known | None = None
+        self._snapshot: Snapshot | None = None
         self._lock = threading.Lock()
-        self._active = 0
-        self._of_caller: dict[str, int] = {}
+        self._active_calls = 0
+        self._active_calls_by_caller: dict[str, int] = {}
         self._demand: dict[str, int] = {}
         self._recorder = recorder
-        self._logger = logs.part("entry")
-        self._refusing = False
+        self._logger = logs.get_logger("entry")
+        self._is_admission_stopped = False
         self.stopping = False
 
     @property
-    def known(self) -> Known | None:
-        """What is known now; None before the first view."""
-        return self._known
+    def snapshot(self) -> Snapshot | None:
+        """The current snapshot; None before the first view."""
+        return self._snapshot
 
     @property
-    def active(self) -> int:
-        """Calls that are open at this entry."""
-        return self._active
+    def active_calls(self) -> int:
+        """Number of open calls at this entry."""
+        return self._active_calls
 
-    def take_view(self, view: data.View) -> bool:
-        """Takes in a view; tells whether declarations changed.
+    def apply_view(self, view: data.View) -> bool:
+        """Applies a view; returns whether declarations changed.
 
-        A version lower than the one in force is never taken: a steward that
-        starts anew may know less for a moment than this entry does.
+        A version lower than the one in force is ignored: a restarted steward
+        may be behind this entry until it has caught up.
         """
-        known = self._known
-        if known is not None and view.version < known.version:
+        snapshot = self._snapshot
+        if snapshot is not None and view.version < snapshot.version:
             return False
         changed = view.tree is not None
         if changed:
-            parsed = declarations_lib.parse(view.tree).declarations
-            if parsed is None:
-                self._logger.error("view does not parse", version=view.version)
+            declarations = declarations_lib.parse(view.tree).declarations
+            if declarations is None:
+                self._logger.error(
+                    "declarations of a view are invalid", version=view.version
+                )
                 return False
-            callers = {c.key_digest: c for c in parsed.callers.values()}
-        elif known is not None:
-            parsed = known.declarations
-            callers = known.callers
+            callers = {c.key_digest: c for c in declarations.callers.values()}
+        elif snapshot is not None:
+            declarations = snapshot.declarations
+            callers = snapshot.callers
         else:
             return False
-        self._known = Known(
+        self._snapshot = Snapshot(
             view.version,
-            parsed,
+            declarations,
             callers,
             frozenset(view.draining),
             view.log_reachable,
         )
-        if changed and (known is None or known.version != view.version):
+        if changed and (snapshot is None or snapshot.version != view.version):
             self._recorder.add(
                 timeline.EventKind.CONFIG,
                 f"version {view.version} is in force here",
             )
         return changed
 
-    def refuse_calls(self) -> None:
-        """From now on no call is counted in.
+    def stop_admission(self) -> None:
+        """Refuses all calls from now on.
 
-        It is one step with the counting: whoever sees no open call after it
-        can rely on that.
+        Takes the same lock as `admit_call`: once no call is open after this,
+        none can be admitted any more.
         """
         with self._lock:
-            self._refusing = True
+            self._is_admission_stopped = True
 
-    def begin(self, caller: data.Caller) -> refusal.Refusal | None:
-        """Counts a call in, or returns why it is refused."""
+    def admit_call(self, caller: data.Caller) -> refusal.Refusal | None:
+        """Admits a call, or returns why it is refused."""
         with self._lock:
-            if self._refusing:
+            if self._is_admission_stopped:
                 return refusal.stopping()
-            open_calls = self._of_caller.get(caller.name, 0)
+            open_calls = self._active_calls_by_caller.get(caller.name, 0)
             if open_calls >= caller.concurrency:
                 return refusal.overloaded(1)
-            self._of_caller[caller.name] = open_calls + 1
-            self._active += 1
+            self._active_calls_by_caller[caller.name] = open_calls + 1
+            self._active_calls += 1
             return None
 
-    def end(self, caller: data.Caller) -> None:
-        """Counts a call out."""
+    def release_call(self, caller: data.Caller) -> None:
+        """Removes an admitted call from the open calls."""
         with self._lock:
-            self._active -= 1
-            left = self._of_caller[caller.name] - 1
-            if left:
-                self._of_caller[caller.name] = left
+            self._active_calls -= 1
+            remaining = self._active_calls_by_caller[caller.name] - 1
+            if remaining:
+                self._active_calls_by_caller[caller.name] = remaining
             else:
-                del self._of_caller[caller.name]
+                del self._active_calls_by_caller[caller.name]
 
-    def asked_for(self, target: str) -> None:
-        """Counts a call towards the demand for a model or adapter."""
+    def count_demand(self, target: str) -> None:
+        """Counts a call as demand for a model or adapter."""
         with self._lock:
             self._demand[target] = self._demand.get(target, 0) + 1
 
     def take_demand(self) -> dict[str, int]:
-        """Returns the counts since the last time and starts anew."""
+        """Returns the demand since the last call and resets it."""
         with self._lock:
             demand = self._demand
             self._demand = {}
--- a/sesamecross/operators/configuration.py
+++ b/sesamecross/operators/configuration.py
@@ -1,4 +1,4 @@
-"""check, diff, publish, explain and rollback."""
+"""The commands check, diff, publish, explain and rollback."""
 
 from collections.abc import Callable
 import json
@@ -20,11 +20,11 @@
 from sesamecross.utils import digest
 from sesamecross.utils import merge_patch
 
-Say = Callable[[str], None]
-VERDICT_WAIT_S = 5.0
-VERDICT_STEP_S = 0.05
-FORCE_WAIT_S = 30.0
-FORCE_STEP_S = 0.1
+ReportProgress = Callable[[str], None]
+VERDICT_TIMEOUT_S = 5.0
+VERDICT_POLL_S = 0.05
+ROLLOUT_TIMEOUT_S = 30.0
+ROLLOUT_POLL_S = 0.1
 
 
 def check(folder: pathlib.Path) -> outcomes.Outcome:
@@ -35,7 +35,7 @@
         count = len(problems)
         noun = "problem" if count == 1 else "problems"
         return outcomes.Outcome(
-            outcomes.Exit.PROBLEMS,
+            outcomes.ExitCode.PROBLEMS,
             {"ok": False, "problems": problems},
             (f"{count} {noun}; nothing was changed",),
             checked.problems,
@@ -51,25 +51,25 @@
     }
     text = ", ".join(f"{number} {name}" for name, number in counts.items())
     return outcomes.Outcome(
-        outcomes.Exit.OK, {"ok": True, "counts": counts}, (f"good: {text}",)
+        outcomes.ExitCode.OK, {"ok": True, "counts": counts}, (f"good: {text}",)
     )
 
 
-def leaves(tree: dict, prefix: tuple[str, ...] = ()) -> dict[str, Any]:
+def flatten(tree: dict, prefix: tuple[str, ...] = ()) -> dict[str, Any]:
     """Returns a tree's values by dotted key."""
     found = {}
     for key, value in tree.items():
         path = (*prefix, key)
         if isinstance(value, dict) and value:
-            found.update(leaves(value, path))
+            found.update(flatten(value, path))
         else:
             found[".".join(path)] = value
     return found
 
 
 def _changes(old: dict, new: dict) -> list[dict[str, Any]]:
-    before = leaves(old)
-    after = leaves(new)
+    before = flatten(old)
+    after = flatten(new)
     return [
         {"key": key, "old": before.get(key), "new": after.get(key)}
         for key in sorted(before.keys() | after.keys())
@@ -96,13 +96,13 @@
     """Shows what publishing the folder would change."""
     checked = folder_lib.check(folder)
     if checked.declarations is None:
-        return outcomes.failed(outcomes.Exit.PROBLEMS, checked.problems)
+        return outcomes.failed(outcomes.ExitCode.PROBLEMS, checked.problems)
     log = log_state.LogState.read(log_url)
     config = log.state.config.state
     changes = _changes(config.tree, checked.merged.tree)
     lines = _change_lines(changes) or ["no difference"]
     return outcomes.Outcome(
-        outcomes.Exit.OK,
+        outcomes.ExitCode.OK,
         {"version": config.version, "changes": changes},
         (f"against version {config.version}:", *lines),
     )
@@ -114,12 +114,12 @@
     path = tuple(key.split("."))
     settings = checked.merged.origins.get(path)
     if not settings:
-        near = [k for k in leaves(checked.merged.tree) if key in k][:5]
+        similar = [k for k in flatten(checked.merged.tree) if key in k][:5]
         remedy = "see `check` for what is declared"
-        if near:
-            remedy = "did you mean " + " or ".join(near) + "?"
+        if similar:
+            remedy = "did you mean " + " or ".join(similar) + "?"
         problem = errors.Problem(str(folder), key, "is set by no file", remedy)
-        return outcomes.failed(outcomes.Exit.PROBLEMS, [problem])
+        return outcomes.failed(outcomes.ExitCode.PROBLEMS, [problem])
     value: Any = checked.merged.tree
     for part in path:
         value = value[part]
@@ -132,7 +132,7 @@
         for setting in reversed(settings[:-1])
     ]
     return outcomes.Outcome(
-        outcomes.Exit.OK,
+        outcomes.ExitCode.OK,
         {"key": key, "value": value, "set_by": history},
         tuple(lines),
     )
@@ -146,26 +146,26 @@
     base: int | None,
     change_id: str | None,
     fleet: fleet_lib.Fleet | None,
-    say: Say,
-    interrupted: outcomes.InterruptedAnswer,
+    report_progress: ReportProgress,
+    interrupted: outcomes.InterruptOutcome,
 ) -> outcomes.Outcome:
-    """Publishes a folder; waits for the log's verdict.
+    """Publishes a folder and waits for the verdict on the log.
 
     Args:
-      folder: What to publish.
-      log_url: The platform's log.
-      author: Who publishes, for others to read.
-      note: Why, for others to read.
-      base: The version that the folder was made from; None for the one in
-        force now.
-      change_id: Given again when an earlier try's outcome is not known.
-      fleet: Where to watch the change come into force, or None.
-      say: Shows progress.
-      interrupted: Kept up to date with what is known of the change.
+      folder: The folder of declarations to publish.
+      log_url: URL of the platform's log.
+      author: The author, recorded for other operators.
+      note: The reason, recorded for other operators.
+      base: The version that the folder is based on; None for the current one.
+      change_id: The id of an earlier attempt whose outcome is unknown, or None.
+      fleet: The stewards to poll until the change is in force everywhere, or
+        None to return once it is accepted.
+      report_progress: Prints a progress message.
+      interrupted: Updated with what is known of the change so far.
     """
     checked = folder_lib.check(folder)
     if checked.declarations is None:
-        return outcomes.failed(outcomes.Exit.PROBLEMS, checked.problems)
+        return outcomes.failed(outcomes.ExitCode.PROBLEMS, checked.problems)
     return _publish_tree(
         checked.merged.tree,
         log_url,
@@ -174,7 +174,7 @@
         base,
         change_id or uuid.uuid4().hex[:16],
         fleet,
-        say,
+        report_progress,
         interrupted,
     )
 
@@ -184,14 +184,14 @@
     log_url: str,
     author: str,
     fleet: fleet_lib.Fleet | None,
-    say: Say,
-    interrupted: outcomes.InterruptedAnswer,
+    report_progress: ReportProgress,
+    interrupted: outcomes.InterruptOutcome,
 ) -> outcomes.Outcome:
     """Publishes an older version's content as a new version."""
     log = log_state.LogState.read(log_url)
     tree = log.state.config.tree_at(version)
     if tree is None:
-        oldest = _oldest_kept(log.state.config)
+        oldest = _oldest_kept_version(log.state.config)
         problem = errors.Problem(
             log_url,
             "",
@@ -200,7 +200,7 @@
             " or publish its folder",
             errors.Kind.EXPIRED,
         )
-        return outcomes.failed(outcomes.Exit.PROBLEMS, [problem])
+        return outcomes.failed(outcomes.ExitCode.PROBLEMS, [problem])
     return _publish_tree(
         tree,
         log_url,
@@ -209,12 +209,12 @@
         None,
         uuid.uuid4().hex[:16],
         fleet,
-        say,
+        report_progress,
         interrupted,
     )
 
 
-def _oldest_kept(config: config_log.ConfigLog) -> int:
+def _oldest_kept_version(config: config_log.ConfigLog) -> int:
     history = config.state.history
     return history[0].version - 1 if history else config.state.version
 
@@ -227,28 +227,32 @@
     base: int | None,
     change_id: str,
     fleet: fleet_lib.Fleet | None,
-    say: Say,
-    interrupted: outcomes.InterruptedAnswer,
+    report_progress: ReportProgress,
+    interrupted: outcomes.InterruptOutcome,
 ) -> outcomes.Outcome:
     log = log_state.LogState.read(log_url)
-    # From here on the record may be on its way; the change id tells later.
+    # From here on the record may reach the log; the change id identifies it.
     not_known_yet = _not_known_yet(change_id, log_url)
     interrupted.outcome = not_known_yet
-    verdict = _verdict(log, tree, author, note, base, change_id, say)
+    verdict = _verdict(
+        log, tree, author, note, base, change_id, report_progress
+    )
     if verdict is None:
         return not_known_yet
     outcome = _verdict_outcome(verdict)
-    if outcome.code is not outcomes.Exit.OK or fleet is None:
+    if outcome.code is not outcomes.ExitCode.OK or fleet is None:
         interrupted.outcome = outcome
         return outcome
     line = f"accepted as version {verdict.version}"
     interrupted.outcome = outcomes.Outcome(
-        outcomes.Exit.PARTIAL,
+        outcomes.ExitCode.PARTIAL,
         outcome.document,
         (f"{line}; interrupted before it was seen in force everywhere",),
     )
-    say(line)
-    return _await_force(verdict.version, fleet, dict(outcome.document), say)
+    report_progress(line)
+    return _await_rollout(
+        verdict.version, fleet, dict(outcome.document), report_progress
+    )
 
 
 def _verdict(
@@ -258,9 +262,9 @@
     note: str,
     base: int | None,
     change_id: str,
-    say: Say,
+    report_progress: ReportProgress,
 ) -> config_log.Verdict | None:
-    """Appends a change, once, and waits for the log's verdict on it."""
+    """Appends a change unless the log has it, and waits for the verdict."""
     config = log.state.config
     if change_id not in config.state.verdicts:
         base_version = config.state.version if base is None else base
@@ -276,23 +280,25 @@
             digest.of_tree(tree),
             note,
         )
-        say(f"publishing change {change_id} from version {base_version}")
+        report_progress(
+            f"publishing change {change_id} from version {base_version}"
+        )
         appended = log.append(change)
         if isinstance(appended, Failure):
-            say(str(appended.failure()))
+            report_progress(str(appended.failure()))
     return _await_verdict(log, change_id)
 
 
 def _await_verdict(
     log: log_state.LogState, change_id: str
 ) -> config_log.Verdict | None:
-    until = time.monotonic() + VERDICT_WAIT_S
-    while time.monotonic() < until:
+    deadline_s = time.monotonic() + VERDICT_TIMEOUT_S
+    while time.monotonic() < deadline_s:
         log.refresh()
         verdict = log.state.config.state.verdicts.get(change_id)
         if verdict is not None:
             return verdict
-        time.sleep(VERDICT_STEP_S)
+        time.sleep(VERDICT_POLL_S)
     return None
 
 
@@ -306,7 +312,7 @@
         errors.Kind.NOT_KNOWN_YET,
     )
     return outcomes.Outcome(
-        outcomes.Exit.NOT_KNOWN_YET,
+        outcomes.ExitCode.NOT_KNOWN_YET,
         {"change_id": change_id, "outcome": "not-known-yet"},
         (),
         (problem,),
@@ -322,19 +328,19 @@
     match verdict.outcome:
         case config_log.Outcome.ACCEPTED:
             line = f"accepted as version {verdict.version}"
-            return outcomes.Outcome(outcomes.Exit.OK, document, (line,))
+            return outcomes.Outcome(outcomes.ExitCode.OK, document, (line,))
         case config_log.Outcome.SUPERSEDED:
-            code = outcomes.Exit.SUPERSEDED
+            code = outcomes.ExitCode.SUPERSEDED
             reason = f"is superseded by {verdict.by}"
             remedy = "run `diff`, take their change in, and publish again"
             kind = errors.Kind.SUPERSEDED
         case config_log.Outcome.FORMAT:
-            code = outcomes.Exit.PROBLEMS
+            code = outcomes.ExitCode.PROBLEMS
             reason = verdict.reason
             remedy = "upgrade all instances first"
             kind = errors.Kind.FORMAT
         case _:
-            code = outcomes.Exit.PROBLEMS
+            code = outcomes.ExitCode.PROBLEMS
             reason = f"is refused: {verdict.reason}"
             remedy = "run `check` with the version that the instances run"
             kind = errors.Kind.REFUSED
@@ -343,35 +349,40 @@
     return outcomes.Outcome(code, document, (), (problem,))
 
 
-def _await_force(
-    version: int, fleet: fleet_lib.Fleet, document: dict, say: Say
+def _await_rollout(
+    version: int,
+    fleet: fleet_lib.Fleet,
+    document: dict,
+    report_progress: ReportProgress,
 ) -> outcomes.Outcome:
-    """Waits until the version is in force at every instance."""
-    began = time.monotonic()
-    said: set[str] = set()
+    """Waits until the version is in force on every instance."""
+    started_s = time.monotonic()
+    reported: set[str] = set()
     while True:
         statuses = fleet.statuses()
         behind = []
         for instance, status in sorted(statuses.items()):
             if status is not None and status.entry_version >= version:
-                if instance not in said:
-                    said.add(instance)
-                    waited_s = time.monotonic() - began
-                    say(f"in force at {instance} after {waited_s:.1f} s")
+                if instance not in reported:
+                    reported.add(instance)
+                    waited_s = time.monotonic() - started_s
+                    report_progress(
+                        f"in force at {instance} after {waited_s:.1f} s"
+                    )
                 continue
-            behind.append(_behind(instance, status))
+            behind.append(_describe_lag(instance, status))
         if not behind:
-            document["seconds"] = round(time.monotonic() - began, 3)
-            line = f"version {version} is in force at {len(said)} instances"
-            return outcomes.Outcome(outcomes.Exit.OK, document, (line,))
-        if time.monotonic() - began > FORCE_WAIT_S:
+            document["seconds"] = round(time.monotonic() - started_s, 3)
+            line = f"version {version} is in force at {len(reported)} instances"
+            return outcomes.Outcome(outcomes.ExitCode.OK, document, (line,))
+        if time.monotonic() - started_s > ROLLOUT_TIMEOUT_S:
             document["behind"] = behind
             lines = tuple(f"behind: {text}" for text in behind)
-            return outcomes.Outcome(outcomes.Exit.PARTIAL, document, lines)
-        time.sleep(FORCE_STEP_S)
+            return outcomes.Outcome(outcomes.ExitCode.PARTIAL, document, lines)
+        time.sleep(ROLLOUT_POLL_S)
 
 
-def _behind(instance: str, status: Any) -> str:
+def _describe_lag(instance: str, status: Any) -> str:
     if status is None:
         return f"{instance} does not answer"
     if not status.entry_connected:
--- a/sesamecross/operators/losses.py
+++ b/sesamecross/operators/losses.py
@@ -1,9 +1,9 @@
-"""Says from gateways' logs why requests were refused, failed or held.
+"""Reports from gateway logs why requests were refused, failed or delayed.
 
-Why: after a bad hour an operator has the logs of all instances, and wants to
-know which few causes most of the loss comes from, for whom and when, before
-looking at any single request. A cause is what the instance itself wrote down
-when it decided; nothing is guessed from elsewhere.
+After an incident an operator has the logs of all instances and wants to know
+which few causes account for most of the losses, on which routes and when,
+before looking at single requests. A cause is derived only from what the
+instance logged when it made the decision.
 """
 
 from collections import Counter
@@ -19,16 +19,16 @@
 from sesamecross.operators import outcomes
 
 WINDOW_S = 10
-# A request that was held longer than this says so by its cause.
-HELD_MS = 50
-# A request without a plan that was held longer than this waited for an adapter:
-# for news of a model it waits less.
-ADAPTER_MS = 400
+# A request that waited longer than this is reported as having waited.
+MIN_DELAY_MS = 50
+# A request without a plan that waited longer than this waited for an adapter:
+# the wait for news of a model is shorter.
+ADAPTER_WAIT_MS = 400
 _REQUEST = "request: "
 
 
 class Cause(enum.Enum):
-    """What became of a request, where it was not served at once."""
+    """Why a request was not served at once."""
 
     FULL = "refused: no turn at the engines that hold the model"
     FULL_AFTER_WAIT = "refused: no turn, after a wait for the model"
@@ -47,14 +47,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
-    """One request, as its instance logged its end.
+class RequestEnd:
+    """The end of a request, as logged by its instance.
 
     Attributes:
-      at_s: Seconds of the day's wall clock since the epoch.
-      cause: None where it was served at once.
-      held_ms: How long it was kept waiting here: for its model and its turn
-        where it was served, and else until it was given up.
+      at_s: Wall-clock time in seconds since the epoch.
+      route: The route's name.
+      cause: None if it was served at once.
+      held_ms: How long it waited at the instance: for its model and its turn if
+        it was served, otherwise until it ended.
     """
 
     at_s: float
@@ -64,8 +65,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Group:
-    """Requests of one cause."""
+class CauseSummary:
+    """Summary of the requests with one cause."""
 
     cause: Cause
     count: int
@@ -74,23 +75,23 @@
     by_window: tuple[tuple[int, int], ...]
 
 
-def row_of(line: str) -> dict[str, Any] | None:
-    """Returns a log line's fields; None where it is none.
+def parse_line(line: str) -> dict[str, Any] | None:
+    """Returns the fields of a log line, or None if it is not a JSON line.
 
-    Collectors put the time and the instance's name before the line.
+    Log collectors prepend the time and the instance's name to the line.
     """
-    begins = line.find("{")
-    if begins < 0:
+    start = line.find("{")
+    if start < 0:
         return None
     try:
-        row = json.loads(line[begins:])
+        row = json.loads(line[start:])
     except ValueError:
         return None
     return row if isinstance(row, dict) else None
 
 
-def ended(row: dict[str, Any]) -> Ended | None:
-    """Returns a request's end; None where a line tells of something else."""
+def parse_request(row: dict[str, Any]) -> RequestEnd | None:
+    """Returns the end of a request, or None for any other line."""
     event = row.get("event")
     if not isinstance(event, str) or not event.startswith(_REQUEST):
         return None
@@ -106,30 +107,32 @@
         return None
     outcome = event.removeprefix(_REQUEST)
     if outcome == "refused":
-        cause = _refused(row, waited_ms)
+        cause = _refusal_cause(row, waited_ms)
     else:
-        cause = _cause(outcome, waited_ms, paced_ms)
+        cause = _outcome_cause(outcome, waited_ms, paced_ms)
     if cause in (Cause.WAITED_MODEL, Cause.WAITED_TURN):
         held_ms = waited_ms + paced_ms
-    return Ended(at_s, str(row["route"]), cause, held_ms)
+    return RequestEnd(at_s, str(row["route"]), cause, held_ms)
 
 
-def _cause(outcome: str, waited_ms: float, paced_ms: float) -> Cause | None:
+def _outcome_cause(
+    outcome: str, waited_ms: float, paced_ms: float
+) -> Cause | None:
     if outcome == "caller gone":
         return Cause.GONE
     if outcome.startswith("cut"):
         return Cause.CUT
     if outcome.startswith("status 5") or outcome == "failed":
         return Cause.FAILED
-    if waited_ms > HELD_MS:
+    if waited_ms > MIN_DELAY_MS:
         return Cause.WAITED_MODEL
-    if paced_ms > HELD_MS:
+    if paced_ms > MIN_DELAY_MS:
         return Cause.WAITED_TURN
     return None
 
 
-def _refused(row: dict[str, Any], waited_ms: float) -> Cause:
-    waited = waited_ms > HELD_MS
+def _refusal_cause(row: dict[str, Any], waited_ms: float) -> Cause:
+    waited = waited_ms > MIN_DELAY_MS
     note = str(row.get("note", ""))
     if "configuration" in note:
         return Cause.NO_CONFIGURATION
@@ -141,49 +144,55 @@
         return Cause.FULL_AFTER_WAIT if waited else Cause.FULL
     if "expected_in_s" in row:
         return Cause.WAITED_TOO_LATE if waited else Cause.TOO_LATE
-    if "/" in str(row["target"]) and waited_ms > ADAPTER_MS:
+    if "/" in str(row["target"]) and waited_ms > ADAPTER_WAIT_MS:
         return Cause.ADAPTER
     return Cause.NO_PLAN
 
 
-def groups(requests: Iterable[Ended]) -> tuple[Group, ...]:
-    """Returns the requests by cause, the most frequent one first."""
-    by_cause: dict[Cause, list[Ended]] = {}
-    for one in requests:
-        if one.cause is not None:
-            by_cause.setdefault(one.cause, []).append(one)
-    found = [
-        Group(
+def summarize(requests: Iterable[RequestEnd]) -> tuple[CauseSummary, ...]:
+    """Returns a summary for each cause, the most frequent one first."""
+    by_cause: dict[Cause, list[RequestEnd]] = {}
+    for request in requests:
+        if request.cause is not None:
+            by_cause.setdefault(request.cause, []).append(request)
+    summaries = [
+        CauseSummary(
             cause,
-            len(those),
-            sum(one.held_ms for one in those) / len(those),
-            tuple(Counter(one.route for one in those).most_common()),
-            tuple(sorted(Counter(_window(one) for one in those).items())),
+            len(members),
+            sum(request.held_ms for request in members) / len(members),
+            tuple(Counter(request.route for request in members).most_common()),
+            tuple(
+                sorted(Counter(_window(request) for request in members).items())
+            ),
         )
-        for cause, those in by_cause.items()
+        for cause, members in by_cause.items()
     ]
-    return tuple(sorted(found, key=lambda one: (-one.count, one.cause.name)))
+    return tuple(
+        sorted(summaries, key=lambda each: (-each.count, each.cause.name))
+    )
 
 
-def _window(one: Ended) -> int:
-    return int(one.at_s // WINDOW_S) * WINDOW_S
+def _window(request: RequestEnd) -> int:
+    return int(request.at_s // WINDOW_S) * WINDOW_S
 
 
 def explain(paths: Iterable[pathlib.Path]) -> outcomes.Outcome:
-    """Reads logs and says what the requests in them were lost to."""
-    requests: list[Ended] = []
+    """Reads logs and reports why requests in them were lost or delayed."""
+    requests: list[RequestEnd] = []
     problems = []
     for path in paths:
         try:
             with path.open(encoding="utf-8", errors="replace") as lines:
-                rows = (row_of(line) for line in lines)
-                told = (ended(row) for row in rows if row is not None)
-                requests.extend(one for one in told if one is not None)
+                rows = (parse_line(line) for line in lines)
+                parsed = (parse_request(row) for row in rows if row is not None)
+                requests.extend(
+                    request for request in parsed if request is not None
+                )
         except OSError as error:
             problems.append(_unreadable(path, error))
     if problems:
-        return outcomes.failed(outcomes.Exit.PROBLEMS, problems)
-    return _outcome(requests, groups(requests))
+        return outcomes.failed(outcomes.ExitCode.PROBLEMS, problems)
+    return _outcome(requests, summarize(requests))
 
 
 def _unreadable(path: pathlib.Path, error: OSError) -> errors.Problem:
@@ -197,19 +206,19 @@
 
 
 def _outcome(
-    requests: list[Ended], found: tuple[Group, ...]
+    requests: list[RequestEnd], summaries: tuple[CauseSummary, ...]
 ) -> outcomes.Outcome:
     lines = [f"{len(requests)} requests"]
-    for group in found:
-        share = group.count / len(requests)
+    for summary in summaries:
+        share = summary.count / len(requests)
         lines.append(
-            f"{group.count:7} {share:6.1%}  {group.cause.value};"
-            f" held {group.held_ms:.0f} ms on average"
+            f"{summary.count:7} {share:6.1%}  {summary.cause.value};"
+            f" held {summary.held_ms:.0f} ms on average"
         )
-        routes = ", ".join(f"{name} {n}" for name, n in group.by_route[:5])
+        routes = ", ".join(f"{name} {n}" for name, n in summary.by_route[:5])
         lines.append(f"{'':15} routes: {routes}")
         windows = ", ".join(
-            f"{_clock(at_s)} {n}" for at_s, n in group.by_window
+            f"{_time_of_day(at_s)} {n}" for at_s, n in summary.by_window
         )
         lines.append(f"{'':15} from: {windows}")
     document = {
@@ -217,19 +226,19 @@
         "window_s": WINDOW_S,
         "causes": [
             {
-                "cause": group.cause.name.lower(),
-                "text": group.cause.value,
-                "count": group.count,
-                "held_ms": round(group.held_ms, 1),
-                "by_route": dict(group.by_route),
-                "by_window": dict(group.by_window),
+                "cause": summary.cause.name.lower(),
+                "text": summary.cause.value,
+                "count": summary.count,
+                "held_ms": round(summary.held_ms, 1),
+                "by_route": dict(summary.by_route),
+                "by_window": dict(summary.by_window),
             }
-            for group in found
+            for summary in summaries
         ],
     }
-    return outcomes.Outcome(outcomes.Exit.OK, document, tuple(lines))
+    return outcomes.Outcome(outcomes.ExitCode.OK, document, tuple(lines))
 
 
-def _clock(at_s: int) -> str:
+def _time_of_day(at_s: int) -> str:
     at = datetime.datetime.fromtimestamp(at_s, datetime.UTC)
     return at.strftime("%H:%M:%S")
--- a/sesamecross/ops/fleet/retry_policy_test.py
+++ b/sesamecross/ops/fleet/retry_policy_test.py
@@ -1,4 +1,4 @@
-"""Tests of what follows a failed attempt, against upstreams that do it all."""
+"""Tests of the retry policy and the retry budget."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -28,16 +28,23 @@
 
 
 AT_MOST_ONCE = route(serving.RouteKind.AT_MOST_ONCE)
-AGAIN = route(serving.RouteKind.IDEMPOTENT)
+REPEATABLE = route(serving.RouteKind.IDEMPOTENT)
 STREAM = route(serving.RouteKind.STREAM)
 RESUMABLE = route(serving.RouteKind.STREAM, resumable=True)
 NextAction = retry_policy.NextAction
 
 
 @pytest.mark.parametrize(
-    ("of", "failure", "possibly_ran_at", "sends", "may_spend", "expected"),
+    (
+        "on_route",
+        "failure",
+        "possibly_ran_at",
+        "sends",
+        "may_spend",
+        "expected",
+    ),
     [
-        # Nothing was sent: any other upstream will do, at no cost.
+        # Nothing was sent: any other upstream may be tried, budget or not.
         (
             AT_MOST_ONCE,
             retry_policy.NotSent("refused"),
@@ -46,7 +53,7 @@
             False,
             NextAction.RETRY,
         ),
-        # The upstream's own word that it did not run it.
+        # The upstream reported that it did not run the request.
         (AT_MOST_ONCE, retry_policy.NotRun(503), (), 1, True, NextAction.RETRY),
         (
             AT_MOST_ONCE,
@@ -56,7 +63,7 @@
             False,
             NextAction.REFUSE,
         ),
-        # It may have run: never again, and nothing is promised.
+        # It may have run: no second send, and no promise to the caller.
         (
             AT_MOST_ONCE,
             retry_policy.Lost("reset"),
@@ -74,11 +81,25 @@
             True,
             NextAction.DELIVER,
         ),
-        # It may run twice, at as many upstreams as the route allows.
-        (AGAIN, retry_policy.Lost("reset"), ("x",), 1, True, NextAction.RETRY),
-        (AGAIN, retry_policy.Lost("reset"), ("x",), 1, False, NextAction.FAIL),
+        # It may be repeated, at as many upstreams as the route allows.
+        (
+            REPEATABLE,
+            retry_policy.Lost("reset"),
+            ("x",),
+            1,
+            True,
+            NextAction.RETRY,
+        ),
         (
-            AGAIN,
+            REPEATABLE,
+            retry_policy.Lost("reset"),
+            ("x",),
+            1,
+            False,
+            NextAction.FAIL,
+        ),
+        (
+            REPEATABLE,
             retry_policy.Lost("reset"),
             ("x", "y"),
             2,
@@ -93,19 +114,28 @@
             True,
             NextAction.RETRY,
         ),
-        # An earlier attempt may have run: 503 would not be true any more.
-        (AGAIN, retry_policy.NotRun(503), ("x",), 2, False, NextAction.FAIL),
+        # An earlier attempt may have run, so a 503 would be false.
+        (
+            REPEATABLE,
+            retry_policy.NotRun(503),
+            ("x",),
+            2,
+            False,
+            NextAction.FAIL,
+        ),
     ],
 )
-def test_what_follows_a_failure(
-    of, failure, possibly_ran_at, sends, may_spend, expected
+def test_action_after_a_failure(
+    on_route, failure, possibly_ran_at, sends, may_spend, expected
 ):
-    progress = retry_policy.AttemptHistory(set(possibly_ran_at), sends, sends)
-    got = retry_policy.decide_after_failure(of, failure, progress, may_spend)
+    history = retry_policy.AttemptHistory(set(possibly_ran_at), sends, sends)
+    got = retry_policy.decide_after_failure(
+        on_route, failure, history, may_spend
+    )
     assert got is expected
 
 
-FATES = st.lists(
+OUTCOMES = st.lists(
     st.tuples(
         st.sampled_from(("not sent", "not run", "lost", "failed there")),
         st.booleans(),
@@ -117,57 +147,60 @@
 
 @settings(max_examples=600, deadline=None, derandomize=True)
 @given(
-    of=st.sampled_from((AT_MOST_ONCE, AGAIN, STREAM, RESUMABLE)), fates=FATES
+    on_route=st.sampled_from((AT_MOST_ONCE, REPEATABLE, STREAM, RESUMABLE)),
+    outcomes=OUTCOMES,
 )
-def test_nothing_runs_twice_and_no_refusal_is_untrue(of, fates):
-    """Orders ran twice, or were refused though they had run.
+def test_no_request_runs_twice_and_no_refusal_is_false(on_route, outcomes):
+    """Guards against orders that ran twice, or were refused though they ran.
 
-    Upstreams refuse, lose and fail in any order; a lost request may have run.
+    Attempts end in refusals, lost responses and failures in any order; a
+    request whose response was lost may have run.
     """
-    progress = retry_policy.AttemptHistory()
+    history = retry_policy.AttemptHistory()
     runs = 0
-    for number, (fate, has_run) in enumerate(fates):
+    for number, (outcome, has_run) in enumerate(outcomes):
         upstream = f"u{number}"
-        progress.tries += 1
-        match fate:
+        history.tries += 1
+        match outcome:
             case "not sent":
                 failure = retry_policy.NotSent("refused")
             case "not run":
-                progress.sends += 1
+                history.sends += 1
                 failure = retry_policy.NotRun(503)
             case "lost":
-                progress.sends += 1
-                progress.possibly_ran_at.add(upstream)
+                history.sends += 1
+                history.possibly_ran_at.add(upstream)
                 runs += has_run
                 failure = retry_policy.Lost("reset")
             case _:
-                progress.sends += 1
-                progress.possibly_ran_at.add(upstream)
+                history.sends += 1
+                history.possibly_ran_at.add(upstream)
                 runs += 1
                 failure = retry_policy.FailedThere(500)
-        following = retry_policy.decide_after_failure(
-            of, failure, progress, True
+        action = retry_policy.decide_after_failure(
+            on_route, failure, history, True
         )
-        if following is NextAction.REFUSE:
+        if action is NextAction.REFUSE:
             assert runs == 0
-            assert not progress.possibly_ran_at
-        if following is not NextAction.RETRY:
+            assert not history.possibly_ran_at
+        if action is not NextAction.RETRY:
             break
     else:
-        # Whatever happens, it comes to an end.
-        assert len(fates) < retry_policy.TRIES_MOST + retry_policy.SENDS_MOST
-    assert runs <= (of.max_upstreams if of.is_retry_safe else 1)
+        # The number of attempts is bounded whatever the upstreams do.
+        assert len(outcomes) < retry_policy.MAX_TRIES + retry_policy.MAX_SENDS
+    assert runs <= (on_route.max_upstreams if on_route.is_retry_safe else 1)
 
 
 @pytest.mark.parametrize("instances", [1, 8, 73, 300])
 def test_retries_of_all_instances_stay_within_one_budget(instances):
-    """Each instance kept its own budget, and all of them together broke it.
+    """Guards against a fleet-wide budget that is exceeded or never used.
 
-    Or, with 300 instances that see three requests each, no instance's part
-    came to a whole retry, and nothing was ever sent again.
+    Instances that each keep a budget of their own exceed it together. With 300
+    instances that see three requests each, no instance's part reached a whole
+    retry, and nothing was ever retried.
     """
     share, extra, window_s = 0.2, 54.0, 10.0
-    windows = [
+    budgets = [
         retry_budget.RetryBudget(
             share,
             extra,
@@ -176,26 +209,26 @@
         )
         for number in range(instances)
     ]
-    spent: list[float] = []
+    retries: list[float] = []
     requests = 0
     for step in range(1000):
         now_s = step * 0.01
-        window = windows[step % instances]
-        window.request(now_s)
+        budget = budgets[step % instances]
+        budget.request(now_s)
         requests += 1
-        # Everything fails, and each instance would go on for ever.
+        # Every request fails, and each instance retries as often as allowed.
         for _ in range(3):
-            if window.spend(now_s, instances):
-                spent.append(now_s)
-    assert len(spent) <= share * requests + extra
-    assert len(spent) >= 0.5 * (share * requests + extra)
+            if budget.spend(now_s, instances):
+                retries.append(now_s)
+    assert len(retries) <= share * requests + extra
+    assert len(retries) >= 0.5 * (share * requests + extra)
 
 
 def test_an_instance_that_knows_of_no_others_spends_little():
-    """A hundred instances that are cut off from each other keep the budget."""
-    spent = 0
-    for number in range(retry_budget.INSTANCES_UNKNOWN):
-        part = retry_budget.rounding_offset(f"instance-{number}")
-        window = retry_budget.RetryBudget(0.2, 54.0, 10.0, part)
-        spent += sum(window.spend(1.0, None) for _ in range(100))
-    assert 0 < spent <= 54.0
+    """A hundred instances without contact to each other keep the budget."""
+    retries = 0
+    for number in range(retry_budget.ASSUMED_INSTANCES):
+        rounding = retry_budget.rounding_offset(f"instance-{number}")
+        budget = retry_budget.RetryBudget(0.2, 54.0, 10.0, rounding)
+        retries += sum(budget.spend(1.0, None) for _ in range(100))
+    assert 0 < retries <= 54.0
--- a/sesamecross/runtime/launch.py
+++ b/sesamecross/runtime/launch.py
@@ -1,7 +1,6 @@
-"""Starts a process from its settings: the same for every program.
+"""Starts a program: parses flags, loads settings, configures logs, runs it.
 
-Why: flags, settings, their errors, logs and the exit code must not differ
-from program to program.
+Every program handles flags, settings errors, logs and exit codes the same way.
 """
 
 import argparse
@@ -17,7 +16,7 @@
 from sesamecross.core import errors
 from sesamecross.parser import settings as settings_lib
 from sesamecross.runtime import application
-from sesamecross.runtime import first_settings
+from sesamecross.runtime import initial_settings
 from sesamecross.runtime import logs
 from sesamecross.runtime import signals
 
@@ -25,16 +24,16 @@
 def launch(
     description: str,
     settings_class: type,
-    make: Callable[[Any], application.Hooks],
-    inbox: signals.Inbox,
+    make_hooks: Callable[[Any], application.Hooks],
+    pending_signals: signals.PendingSignals,
 ) -> int:
-    """Runs a program to its end.
+    """Runs a program until it exits.
 
     Args:
-      description: What the program is, for its help.
-      settings_class: The record of its settings.
-      make: Makes the application object from checked settings.
-      inbox: Gets the process's signals.
+      description: The description in the program's help.
+      settings_class: The dataclass of its settings.
+      make_hooks: Creates the process's hooks from valid settings.
+      inbox: The process's signals.
 
     Returns:
       The exit code.
@@ -42,25 +41,25 @@
     parser = argparse.ArgumentParser(description=description)
     settings_lib.add_flags(parser, settings_class)
     flags = parser.parse_args()
-    loaded = first_settings.read(
+    loaded = initial_settings.load_with_retry(
         functools.partial(settings_lib.load, settings_class, flags, os.environ),
-        inbox,
-        functools.partial(_is_of_file, flags.settings),
+        pending_signals,
+        functools.partial(_concerns_file, flags.settings),
     )
     if isinstance(loaded, Failure):
         for problem in loaded.failure():
             print(problem, file=sys.stderr)
-        return application.code_without_start(inbox)
+        return application.exit_code_without_start(pending_signals)
     settings = loaded.unwrap()
     logs.configure(
         settings.log_level, settings.log_format, instance=settings.instance
     )
-    return application.Application(make(settings), inbox).run()
+    return application.Application(make_hooks(settings), pending_signals).run()
 
 
-def _is_of_file(path: str | None, problems: list[errors.Problem]) -> bool:
-    """Whether a problem is the file's, which may still be being written."""
+def _concerns_file(path: str | None, problems: list[errors.Problem]) -> bool:
+    """Whether a problem is in the file, which may still be being written."""
     if not path:
         return False
     name = pathlib.Path(path).name
-    return any(pathlib.Path(one.file).name == name for one in problems)
+    return any(pathlib.Path(problem.file).name == name for problem in problems)
--- a/sesamecross/steward/log_reader.py
+++ b/sesamecross/steward/log_reader.py
@@ -1,7 +1,7 @@
-"""Follows the platform's log and feeds the replica.
+"""Long-polls the platform's log and feeds the replica.
 
-Why: reading must go on through outages, resume where it stood, and never
-skip a gap. Peers help where the log can't.
+Reading continues through outages, resumes at the same offset and never skips
+a gap. Where the log has expired the records needed, a peer provides the state.
 """
 
 import asyncio
@@ -14,11 +14,11 @@
 from sesamecross.ops import timeline
 from sesamecross.ports import log_http
 from sesamecross.runtime import logs
-from sesamecross.steward import hub as hub_lib
+from sesamecross.steward import local_replica as local_replica_lib
 
-WAIT_MS = 1000
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 1.0
+LONG_POLL_MS = 1000
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
 
 
 class LogReader:
@@ -26,7 +26,7 @@
 
     __slots__ = (
         "_log",
-        "_hub",
+        "_replica",
         "_recorder",
         "_rng",
         "_logger",
@@ -38,23 +38,23 @@
     def __init__(
         self,
         log: log_http.HttpLog,
-        hub: hub_lib.Hub,
+        replica: local_replica_lib.LocalReplica,
         recorder: timeline.Recorder,
         rng: random.Random,
         on_gap: Callable[[], None],
     ):
         self._log = log
-        self._hub = hub
+        self._replica = replica
         self._recorder = recorder
         self._rng = rng
-        self._logger = logs.part("log-reader")
+        self._logger = logs.get_logger("log-reader")
         self._reachable = False
         self._caught_up = False
         self._on_gap = on_gap
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The component's name in logs."""
         return "log-reader"
 
     @property
@@ -64,39 +64,39 @@
 
     @property
     def caught_up(self) -> bool:
-        """Whether the replica has been at the log's end since the start."""
+        """Whether the replica has reached the log's end since the start."""
         return self._caught_up
 
     async def run(self) -> None:
         """Reads until cancelled."""
-        pause = FIRST_PAUSE_S
+        backoff_s = INITIAL_BACKOFF_S
         while True:
-            start = self._hub.replica.read_offset
-            wait_ms = WAIT_MS if self._caught_up else 0
+            start = self._replica.log_replica.read_offset
+            wait_ms = LONG_POLL_MS if self._caught_up else 0
             result = await asyncio.to_thread(self._log.read, start, wait_ms)
             if isinstance(result, Success):
-                pause = FIRST_PAUSE_S
+                backoff_s = INITIAL_BACKOFF_S
                 self._set_reachable(True, "")
-                self._take(result.unwrap())
+                self._feed_page(result.unwrap())
                 continue
             self._set_reachable(False, str(result.failure()))
-            await asyncio.sleep(pause * self._rng.uniform(0.5, 1.0))
-            pause = min(pause * 2, LONGEST_PAUSE_S)
+            await asyncio.sleep(backoff_s * self._rng.uniform(0.5, 1.0))
+            backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
 
     async def stop(self) -> None:
-        """Nothing is open between reads."""
+        """Does nothing: no work is open between reads."""
 
-    def _take(self, page: log_http.Page) -> None:
-        replica = self._hub.replica
-        replica.feed(page.start, page.payloads)
+    def _feed_page(self, page: log_http.Page) -> None:
+        log_replica = self._replica.log_replica
+        log_replica.feed(page.start, page.payloads)
         at_end = page.start + len(page.payloads) >= page.next_offset
         if not at_end:
             return
-        if replica.progress is catchup.CatchupState.FOLLOWING:
+        if log_replica.progress is catchup.CatchupState.FOLLOWING:
             self._caught_up = True
             return
-        # The log holds no snapshot that joins what it still has; only a
-        # peer can give one.
+        # The log holds no snapshot that covers the gap to its remaining
+        # records; only a peer can provide one.
         self._on_gap()
 
     def _set_reachable(self, reachable: bool, reason: str) -> None:
@@ -104,7 +104,7 @@
             return
         self._reachable = reachable
         if reachable:
-            self._logger.info("reads are answered")
+            self._logger.info("log reads succeed")
         else:
             self._logger.warning("reads fail", reason=reason)
         self._recorder.add(
--- a/sesamecross/steward/mover.py
+++ b/sesamecross/steward/placement_controller.py
@@ -1,9 +1,9 @@
-"""Carries out the placement plan: intents first, then orders.
+"""Plans placement and carries it out: intents first, then orders.
 
-Why: an order may only be sent once it stands on the log under a lease that
-was still current there; whatever its sender may have sent is then known to
-the next holder. How many loads run at once is decided by their order on the
-log too, so that the holders of all zones together keep the store's limits.
+An order may be sent only once its intent is on the log under a lease that was
+current at that offset. The next holder then knows every order that may have
+been sent. Concurrent loads are counted from the log's intents too, so that the
+holders of all zones together stay within the weight store's limits.
 """
 
 import asyncio
@@ -21,133 +21,134 @@
 from sesamecross.ops import timeline
 from sesamecross.ports import engine_http
 from sesamecross.runtime import logs
-from sesamecross.steward import demand as demand_lib
-from sesamecross.steward import hub as hub_lib
+from sesamecross.steward import demand_tracker as demand_tracker_lib
+from sesamecross.steward import engine_poller as engine_poller_lib
 from sesamecross.steward import lease_manager
+from sesamecross.steward import local_replica as local_replica_lib
 from sesamecross.steward import log_reader
 from sesamecross.steward import log_writer
-from sesamecross.steward import reporter as reporter_lib
 
-RESEND_MS = 3000
-WATCH_S = 0.1
-HEAR_MS = 5000
-_LOADS_MODEL = data.OrderAction.LOAD_MODEL
-_LOADS_ADAPTER = data.OrderAction.LOAD_ADAPTER
+RESEND_INTERVAL_MS = 3000
+POLL_INTERVAL_S = 0.1
+INITIAL_REPORT_TIMEOUT_MS = 5000
+_LOAD_MODEL = data.OrderAction.LOAD_MODEL
+_LOAD_ADAPTER = data.OrderAction.LOAD_ADAPTER
 
 
-class Mover:
-    """Component that plans and moves while this steward holds the lease."""
+class PlacementController:
+    """Component that plans and executes moves while it holds the lease."""
 
     __slots__ = (
         "_me",
-        "_hub",
-        "_lease",
+        "_replica",
+        "_lease_manager",
         "_reader",
         "_writer",
-        "_reporter",
+        "_engine_poller",
         "_engines",
-        "_demand",
+        "_demand_tracker",
         "_clock",
         "_recorder",
-        "_plan_s",
-        "_busy",
+        "_plan_interval_s",
+        "_move_tasks",
         "_locks",
         "_next_load_ms",
         "_planning_since_ms",
         "_logger",
         "shortfalls",
-        "moves_made",
+        "applied_order_count",
     )
 
     def __init__(
         self,
         me: data.Member,
-        hub: hub_lib.Hub,
+        replica: local_replica_lib.LocalReplica,
         lease: lease_manager.LeaseManager,
         reader: log_reader.LogReader,
         writer: log_writer.LogWriter,
-        reporter: reporter_lib.Reporter,
+        engine_poller: engine_poller_lib.EnginePoller,
         engines: engine_http.HttpEngine,
-        demand: demand_lib.Demand,
+        demand_tracker: demand_tracker_lib.DemandTracker,
         clock: clock_lib.Clock,
         recorder: timeline.Recorder,
         plan_ms: int,
     ):
         self._me = me
-        self._hub = hub
-        self._lease = lease
+        self._replica = replica
+        self._lease_manager = lease
         self._reader = reader
         self._writer = writer
-        self._reporter = reporter
+        self._engine_poller = engine_poller
         self._engines = engines
-        self._demand = demand
+        self._demand_tracker = demand_tracker
         self._clock = clock
         self._recorder = recorder
-        self._plan_s = plan_ms / 1000
-        self._busy: dict[tuple[str, str], asyncio.Task] = {}
+        self._plan_interval_s = plan_ms / 1000
+        self._move_tasks: dict[tuple[str, str], asyncio.Task] = {}
         self._locks: dict[str, asyncio.Lock] = {}
         self._next_load_ms = 0
         self._planning_since_ms: int | None = None
-        self._logger = logs.part("mover")
+        self._logger = logs.get_logger("mover")
         self.shortfalls: tuple[placement.Shortfall, ...] = ()
-        self.moves_made = 0
+        self.applied_order_count = 0
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The component's name in logs."""
         return "mover"
 
     async def run(self) -> None:
-        """Plans and moves until cancelled."""
+        """Plans and starts moves until cancelled."""
         while True:
-            await asyncio.sleep(self._plan_s)
-            lease = self._lease.held()
+            await asyncio.sleep(self._plan_interval_s)
+            lease = self._lease_manager.held_lease()
             if lease is None or not self._reader.reachable:
                 continue
-            self._watch_inherited()
-            if not self._has_heard_of_all():
+            self._settle_inherited()
+            if not self._has_all_reports():
                 continue
-            plan = placement.plan(self.inputs())
-            self._note_shortfalls(plan.shortfalls)
+            plan = placement.plan(self.plan_inputs())
+            self._publish_shortfalls(plan.shortfalls)
             for move in plan.moves:
-                self._begin(move, lease.offset)
+                self._start_move(move, lease.offset)
 
     async def stop(self) -> None:
-        """Lets moves that were written down be sent and then settled.
+        """Gives running moves two seconds to be sent and settled.
 
-        What can't be settled in time stays on the log as unresolved, and
-        the next holder settles it.
+        Intents that are not settled by then stay unresolved on the log, and
+        the next holder settles them.
         """
-        tasks = list(self._busy.values())
+        tasks = list(self._move_tasks.values())
         if tasks:
             await asyncio.wait(tasks, timeout=2.0)
-        for task in self._busy.values():
+        for task in self._move_tasks.values():
             task.cancel()
 
-    def _has_heard_of_all(self) -> bool:
-        """Tells whether each engine has been asked since this start.
+    def _has_all_reports(self) -> bool:
+        """Tells whether each engine has a report, or the wait is over.
 
-        Before that a plan would see room nowhere and models nowhere.
+        A plan made without the reports would see no free memory and no
+        resident models.
         """
         now_ms = self._clock.monotonic_ms()
         if self._planning_since_ms is None:
             self._planning_since_ms = now_ms
-        if now_ms - self._planning_since_ms >= HEAR_MS:
+        if now_ms - self._planning_since_ms >= INITIAL_REPORT_TIMEOUT_MS:
             return True
-        engines = self._hub.state.config.declarations.engines()
+        engines = self._replica.state.config.declarations.engines()
         return all(
-            self._reporter.report_of(engine.name) is not None
+            self._engine_poller.report_of(engine.name) is not None
             for engine in engines
         )
 
-    def inputs(self) -> placement.Inputs:
-        """Returns what a plan is made from now."""
-        state = self._hub.state
+    def plan_inputs(self) -> placement.Inputs:
+        """Returns the current inputs of the planner."""
+        state = self._replica.state
         declarations = state.config.declarations
         sizes = ledger.sizes_of(declarations)
         accounts = {}
         for engine in declarations.engines():
-            report = self._reporter.report_of(engine.name)
+            report = self._engine_poller.report_of(engine.name)
             usable = report is not None and report.reachable
             if not usable or report.leaving or engine.name in state.draining:
                 continue
@@ -158,10 +159,10 @@
                 sizes,
             )
         return placement.Inputs(
-            declarations, self._me.zone, accounts, self._demand.rates()
+            declarations, self._me.zone, accounts, self._demand_tracker.rates()
         )
 
-    def _note_shortfalls(
+    def _publish_shortfalls(
         self, shortfalls: tuple[placement.Shortfall, ...]
     ) -> None:
         if shortfalls == self.shortfalls:
@@ -169,7 +170,7 @@
         self.shortfalls = shortfalls
         for shortfall in shortfalls:
             self._logger.warning(
-                "a declaration can't be satisfied",
+                "declaration cannot be satisfied",
                 name=shortfall.name,
                 reason=shortfall.reason,
                 remedy=shortfall.remedy,
@@ -180,69 +181,75 @@
                 model=shortfall.name,
             )
 
-    def _begin(self, move: placement.Move, lease: int) -> None:
+    def _start_move(self, move: placement.Move, lease_offset: int) -> None:
         key = (move.upstream, move.target)
-        if key in self._busy or not self._within_budget(move):
+        if key in self._move_tasks or not self._within_budget(move):
             return
-        task = asyncio.create_task(self._carry_out(move, lease))
-        self._busy[key] = task
-        task.add_done_callback(lambda _: self._busy.pop(key, None))
+        task = asyncio.create_task(self._execute_move(move, lease_offset))
+        self._move_tasks[key] = task
+        task.add_done_callback(lambda _: self._move_tasks.pop(key, None))
 
     def _within_budget(self, move: placement.Move) -> bool:
-        store = self._hub.state.config.declarations.store
-        under_way = self._unresolved_of(move.action)
-        starting = sum(
-            1 for key in self._busy if not self._is_unresolved(key[1])
+        store = self._replica.state.config.declarations.store
+        unresolved_count = self._count_unresolved(move.action)
+        starting_count = sum(
+            1 for key in self._move_tasks if not self._is_unresolved(key[1])
         )
-        if move.action is _LOADS_ADAPTER:
-            return under_way + starting < store.adapters_in_transit
-        if move.action is not _LOADS_MODEL:
+        if move.action is _LOAD_ADAPTER:
+            return unresolved_count + starting_count < store.adapters_in_transit
+        if move.action is not _LOAD_MODEL:
             return True
-        if under_way + starting >= store.full_speed_loads:
+        if unresolved_count + starting_count >= store.full_speed_loads:
             return False
         now_ms = self._clock.monotonic_ms()
         if now_ms < self._next_load_ms:
             return False
-        zones = {e.zone for e in self._hub.state.config.declarations.engines()}
-        # Each zone's holder takes its share of the store's rate, so that
-        # they need not talk about it.
+        zones = {
+            e.zone for e in self._replica.state.config.declarations.engines()
+        }
+        # Each zone's holder takes an equal share of the store's load rate,
+        # so that the holders need not coordinate.
         interval_ms = 1000 * max(1, len(zones)) / store.loads_per_second
         self._next_load_ms = now_ms + int(interval_ms)
         return True
 
-    def _unresolved_of(self, action: data.OrderAction) -> int:
-        unresolved = self._hub.state.intents.unresolved.values()
+    def _count_unresolved(self, action: data.OrderAction) -> int:
+        unresolved = self._replica.state.intents.unresolved.values()
         return sum(1 for i in unresolved if i.order.action is action)
 
     def _is_unresolved(self, target: str) -> bool:
-        unresolved = self._hub.state.intents.unresolved.values()
+        unresolved = self._replica.state.intents.unresolved.values()
         return any(i.order.target == target for i in unresolved)
 
-    async def _carry_out(self, move: placement.Move, lease: int) -> None:
-        upstream = self._hub.state.config.declarations.upstreams[move.upstream]
+    async def _execute_move(
+        self, move: placement.Move, lease_offset: int
+    ) -> None:
+        upstream = self._replica.state.config.declarations.upstreams[
+            move.upstream
+        ]
         lock = self._locks.setdefault(move.upstream, asyncio.Lock())
         async with lock:
-            intent = await self._write_intent(move, upstream, lease)
+            intent = await self._write_intent(move, upstream, lease_offset)
             if intent is None:
                 return
             await self._send(intent, upstream)
         await self._settle(intent, upstream)
 
     async def _write_intent(
-        self, move: placement.Move, upstream: data.Upstream, lease: int
+        self, move: placement.Move, upstream: data.Upstream, lease_offset: int
     ) -> intents.Intent | None:
-        """Writes the order down; returns it once it may be sent."""
-        status = await self._reporter.poll(upstream)
+        """Appends an intent; returns it if its order may be sent."""
+        status = await self._engine_poller.poll(upstream)
         if status is None or status.report.leaving:
             return None
-        self._resolve_by(status, upstream)
+        self._resolve_proved_orders(status, upstream)
         account = ledger.account(
             upstream.memory_mib,
             status.report,
-            intents.of_upstream(self._hub.state.intents, upstream.name),
-            ledger.sizes_of(self._hub.state.config.declarations),
+            intents.of_upstream(self._replica.state.intents, upstream.name),
+            ledger.sizes_of(self._replica.state.config.declarations),
         )
-        if not _still_holds(move, account):
+        if not _is_still_valid(move, account):
             return None
         order = data.Order(
             uuid.uuid4().hex,
@@ -253,16 +260,16 @@
             move.version,
             move.memory_mib,
         )
-        record = records.IntentWritten(self._me.zone, lease, order)
-        future = self._hub.expect(record)
+        record = records.IntentWritten(self._me.zone, lease_offset, order)
+        future = self._replica.result_future(record)
         try:
             self._writer.submit(record)
-        except log_writer.QueueFull:
-            self._hub.forget(record, future)
+        except log_writer.QueueFullError:
+            self._replica.cancel_wait(record, future)
             return None
         intent = await future
         if intent is None:
-            # The lease was superseded before this record: another holder
+            # The lease was superseded earlier on the log: another holder
             # plans now, and this order must never be sent.
             self._recorder.add(
                 timeline.EventKind.INTENT,
@@ -285,12 +292,12 @@
         result = await asyncio.to_thread(
             self._engines.send_order, upstream.url, intent.order, intent.fence
         )
-        word = "no answer"
+        answer = "no answer"
         if isinstance(result, Success):
-            word = result.unwrap().value
+            answer = result.unwrap().value
         self._recorder.add(
             timeline.EventKind.ORDER,
-            f"{intent.order.action.value} sent, fence {intent.fence}: {word}",
+            f"{intent.order.action.value} sent, fence {intent.fence}: {answer}",
             model=intent.order.target,
             upstream=upstream.name,
         )
@@ -298,49 +305,54 @@
     async def _settle(
         self, intent: intents.Intent, upstream: data.Upstream
     ) -> None:
-        """Watches the engine until the order's outcome is proved."""
+        """Polls the engine until the order's outcome is proved."""
         sent_ms = self._clock.monotonic_ms()
         while self._is_open(intent):
-            await asyncio.sleep(WATCH_S)
-            status = await self._reporter.poll(upstream)
+            await asyncio.sleep(POLL_INTERVAL_S)
+            status = await self._engine_poller.poll(upstream)
             if status is None:
                 continue
-            self._resolve_by(status, upstream)
-            known = intent.order.order_id in status.orders
+            self._resolve_proved_orders(status, upstream)
+            is_known = intent.order.order_id in status.orders
             now_ms = self._clock.monotonic_ms()
-            if known or now_ms - sent_ms < RESEND_MS:
+            if is_known or now_ms - sent_ms < RESEND_INTERVAL_MS:
                 continue
-            if self._lease.held() is None:
+            if self._lease_manager.held_lease() is None:
                 return
-            # The order was lost on its way. The engine does nothing for an
-            # order id that it has seen, so sending it again is safe.
+            # The order was lost in transit. The engine ignores an order id
+            # that it has seen, so sending it again is safe.
             sent_ms = now_ms
             await self._send(intent, upstream)
 
     def _is_open(self, intent: intents.Intent) -> bool:
-        return intent.order.order_id in self._hub.state.intents.unresolved
+        return intent.order.order_id in self._replica.state.intents.unresolved
+
+    def _settle_inherited(self) -> None:
+        """Settles unresolved intents of the zone that have no task here.
 
-    def _watch_inherited(self) -> None:
-        """Settles intents that an earlier holder left behind."""
-        state = self._hub.state
+        An earlier holder or incarnation left them behind.
+        """
+        state = self._replica.state
         for intent in list(state.intents.unresolved.values()):
             if intent.zone != self._me.zone:
                 continue
             key = (intent.order.upstream, intent.order.target)
             upstream = state.config.declarations.upstreams.get(key[0])
-            if key in self._busy or upstream is None:
+            if key in self._move_tasks or upstream is None:
                 continue
             task = asyncio.create_task(self._settle(intent, upstream))
-            self._busy[key] = task
-            task.add_done_callback(lambda _, key=key: self._busy.pop(key, None))
+            self._move_tasks[key] = task
+            task.add_done_callback(
+                lambda _, key=key: self._move_tasks.pop(key, None)
+            )
 
-    def _resolve_by(
+    def _resolve_proved_orders(
         self, status: engine_http.EngineStatus, upstream: data.Upstream
     ) -> None:
-        """Writes down each outcome that the status proves."""
-        if self._lease.held() is None:
+        """Appends each order outcome that the engine's status proves."""
+        if self._lease_manager.held_lease() is None:
             return
-        state = self._hub.state
+        state = self._replica.state
         for intent in intents.of_upstream(state.intents, upstream.name):
             outcome = order_outcomes.outcome_of(
                 intent, status, upstream.checks_fencing
@@ -350,10 +362,10 @@
             record = records.IntentResolved(intent.order.order_id, outcome)
             try:
                 self._writer.submit(record)
-            except log_writer.QueueFull:
+            except log_writer.QueueFullError:
                 return
             if outcome is records.IntentOutcome.APPLIED:
-                self.moves_made += 1
+                self.applied_order_count += 1
             self._recorder.add(
                 timeline.EventKind.INTENT,
                 f"{intent.order.action.value} is {outcome.value}",
@@ -362,7 +374,7 @@
             )
 
 
-def _still_holds(move: placement.Move, account: ledger.Account) -> bool:
+def _is_still_valid(move: placement.Move, account: ledger.Account) -> bool:
     if move.action.loads:
         fits = move.memory_mib <= account.free_mib
         return fits and move.target not in account.held
--- a/sesamecross/steward/snapshotter.py
+++ b/sesamecross/steward/snapshotter.py
@@ -1,9 +1,9 @@
-"""Appends snapshots of the shared state ahead of the log's retention.
+"""Appends snapshots of the shared state before log records expire.
 
-Why: the log keeps records for a limited time, and instances keep nothing. A
-snapshot lets an instance start from the log alone though the first records
-have expired. Any steward may append one; they take turns by rendezvous, and
-one that is on the log already is not appended again.
+The log retains records for a limited time and instances store nothing. A
+snapshot lets an instance start from the log alone after the first records have
+expired. Any steward may append one: rendezvous hashing picks whose turn it is,
+and a snapshot that is already on the log is not appended again.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 from sesamecross.ops import membership as membership_lib
 from sesamecross.ops import replay
 from sesamecross.runtime import logs
-from sesamecross.steward import hub as hub_lib
+from sesamecross.steward import local_replica as local_replica_lib
 from sesamecross.steward import log_reader
 from sesamecross.steward import log_writer
 from sesamecross.utils import rendezvous
@@ -22,76 +22,78 @@
 
 
 class Snapshotter:
-    """Component that appends a snapshot when it is due and its turn."""
+    """Component that appends a snapshot when this steward is chosen."""
 
     __slots__ = (
         "_me",
-        "_hub",
+        "_replica",
         "_reader",
         "_writer",
         "_membership",
-        "_every",
+        "_interval_records",
         "_logger",
-        "_waits_for",
+        "_pending_offset",
     )
 
     def __init__(
         self,
         me: data.Member,
-        hub: hub_lib.Hub,
+        replica: local_replica_lib.LocalReplica,
         reader: log_reader.LogReader,
         writer: log_writer.LogWriter,
         membership: membership_lib.Membership,
-        every: int,
+        interval_records: int,
     ):
         self._me = me
-        self._hub = hub
+        self._replica = replica
         self._reader = reader
         self._writer = writer
         self._membership = membership
-        self._every = every
-        self._logger = logs.part("snapshots")
-        self._waits_for = -1
+        self._interval_records = interval_records
+        self._logger = logs.get_logger("snapshots")
+        self._pending_offset = -1
 
     @property
     def name(self) -> str:
-        """The prefix of its logs."""
+        """The component's name in logs."""
         return "snapshots"
 
     async def run(self) -> None:
-        """Looks each second until cancelled."""
+        """Checks each second until cancelled."""
         while True:
             await asyncio.sleep(TICK_S)
             if self._is_due():
                 self._append()
 
     async def stop(self) -> None:
-        """Nothing is open between looks."""
+        """Does nothing: no work is open between checks."""
 
     def _is_due(self) -> bool:
-        replica = self._hub.replica
+        log_replica = self._replica.log_replica
         if not (self._reader.caught_up and self._writer.reachable):
             return False
-        if replica.last_snapshot_offset < self._waits_for:
-            # The own one is on its way.
+        if log_replica.last_snapshot_offset < self._pending_offset:
+            # This steward's snapshot is not replayed yet.
             return False
-        behind = replica.state.next_offset - 1 - replica.last_snapshot_offset
-        if behind < self._every:
+        lag = (
+            log_replica.state.next_offset - 1 - log_replica.last_snapshot_offset
+        )
+        if lag < self._interval_records:
             return False
-        # Who is asked changes with the distance, so that a steward that does
-        # not do its turn holds nothing up.
-        turn = behind // self._every
+        # The choice changes as the lag grows, so that a steward that fails to
+        # append does not block the others.
+        turn = lag // self._interval_records
         alive = self._membership.believed_alive()
-        first = rendezvous.top(f"snapshot/{turn}", alive, 1)
-        return first == [self._me.incarnation.instance]
+        appender = rendezvous.top(f"snapshot/{turn}", alive, 1)
+        return appender == [self._me.incarnation.instance]
 
     def _append(self) -> None:
-        snapshot: records.StateSnapshot = replay.snapshot(self._hub.state)
+        snapshot: records.StateSnapshot = replay.snapshot(self._replica.state)
         try:
             self._writer.submit_alone(snapshot)
-        except log_writer.QueueFull:
+        except log_writer.QueueFullError:
             return
-        self._waits_for = snapshot.upto
+        self._pending_offset = snapshot.upto
         self._logger.info(
             "snapshot is appended",
             offset=snapshot.upto,
