--- a/sesamecross/devtools/__init__.py
+++ b/sesamecross/devtools/__init__.py
@@ -1,1 +1,1 @@
-"""Runner and measurements; scaffolding, not product."""
+"""Loopback deployments, load generation and benchmarks for development."""
--- a/sesamecross/devtools/capacity.py
+++ b/sesamecross/devtools/capacity.py
@@ -1,8 +1,8 @@
-"""Measures slopes of the control's cost in one process.
+"""Measures how the cost of the control plane grows with its size.
 
-Why: the size to design for can't be run on one machine. What each mechanism
-costs is measured at several sizes; docs/CAPACITY.md works the design size out
-from the slopes.
+The design size can't be run on one machine. So each mechanism is measured in
+one process at several sizes, and docs/CAPACITY.md extrapolates to the design
+size from the slopes.
 """
 
 from collections.abc import Callable
@@ -31,18 +31,18 @@
 ROUNDS = 3
 
 
-def _ms(work: Callable[[], object], rounds: int = ROUNDS) -> float:
-    """Returns the fastest of a few rounds, in milliseconds."""
+def _fastest_ms(operation: Callable[[], object], rounds: int = ROUNDS) -> float:
+    """Returns the fastest of `rounds` runs, in milliseconds."""
     best = float("inf")
     for _ in range(rounds):
         began = time.perf_counter()
-        work()
+        operation()
         best = min(best, time.perf_counter() - began)
     return round(best * 1000, 3)
 
 
-def tree(workers: int, models: int) -> dict:
-    """Returns declarations of a size, as a plain tree."""
+def declarations_tree(workers: int, models: int) -> dict:
+    """Returns declarations for so many engines and models, as a plain tree."""
     zones = max(1, min(11, workers // 3))
     return {
         "regions": {f"r{n}": {} for n in range(min(5, zones))},
@@ -72,9 +72,9 @@
     }
 
 
-def configuration(workers: int, models: int) -> dict:
-    """Measures one change of a configuration of a size."""
-    old = tree(workers, models)
+def measure_configuration(workers: int, models: int) -> dict:
+    """Measures a change of one model in a configuration of a given size."""
+    old = declarations_tree(workers, models)
     new = merge_patch.apply(old, {"models": {"m0": {"replicas": 2}}})
     patch = merge_patch.diff(old, new)
     record = records.ConfigPublished("c", 1, "a", 1, patch, digest.of_tree(new))
@@ -83,15 +83,17 @@
         "models": models,
         "tree_bytes": len(json.dumps(new)),
         "change_bytes": len(codec.encode(record)),
-        "check_ms": _ms(lambda: declarations.parse(new)),
-        "digest_ms": _ms(lambda: digest.of_tree(new)),
-        "apply_ms": _ms(lambda: merge_patch.apply(old, patch)),
+        "check_ms": _fastest_ms(lambda: declarations.parse(new)),
+        "digest_ms": _fastest_ms(lambda: digest.of_tree(new)),
+        "apply_ms": _fastest_ms(lambda: merge_patch.apply(old, patch)),
     }
 
 
-def planning(workers: int, models: int) -> dict:
-    """Measures a plan from nothing and one in a settled deployment."""
-    declared = declarations.parse(tree(workers, models)).declarations
+def measure_planning(workers: int, models: int) -> dict:
+    """Measures placement on empty engines and with all models resident."""
+    declared = declarations.parse(
+        declarations_tree(workers, models)
+    ).declarations
     empty = {
         engine.name: ledger.Account(
             engine.memory_mib, 0, frozenset(), frozenset()
@@ -99,30 +101,30 @@
         for engine in declared.engines()
     }
     zone = next(iter(declared.zones))
-    cold = placement.Inputs(declared, zone, empty, {})
+    empty_inputs = placement.Inputs(declared, zone, empty, {})
     sizes = ledger.sizes_of(declared)
-    held: dict[str, set[str]] = {name: set() for name in empty}
+    held_models: dict[str, set[str]] = {name: set() for name in empty}
     for name in declared.zones:
         moves = placement.plan(
             placement.Inputs(declared, name, empty, {})
         ).moves
         for move in moves:
-            held[move.upstream].add(move.target)
+            held_models[move.upstream].add(move.target)
     settled_accounts = {
         name: ledger.Account(
             640_000,
-            sum(sizes[one] for one in names),
+            sum(sizes[target] for target in names),
             frozenset(names),
             frozenset(names),
         )
-        for name, names in held.items()
+        for name, names in held_models.items()
     }
     settled = placement.Inputs(declared, zone, settled_accounts, {})
     return {
         "workers": workers,
         "models": models,
-        "cold_ms": _ms(lambda: placement.plan(cold), 1),
-        "settled_ms": _ms(lambda: placement.plan(settled), 1),
+        "cold_ms": _fastest_ms(lambda: placement.plan(empty_inputs), 1),
+        "settled_ms": _fastest_ms(lambda: placement.plan(settled), 1),
     }
 
 
@@ -135,8 +137,8 @@
     )
 
 
-def members(count: int) -> dict:
-    """Measures membership and the overlay in a zone of a size."""
+def measure_members(count: int) -> dict:
+    """Measures membership and the overlay in a zone of `count` instances."""
     table = membership.Membership(_member(0), 2500)
     known = {m.incarnation.instance: m for m in map(_member, range(count))}
     for member in known.values():
@@ -147,15 +149,15 @@
     links = overlay.stream_peers(me, known)
     return {
         "members": count,
-        "tick_ms": _ms(lambda: table.tick(1000)),
-        "links_ms": _ms(lambda: overlay.stream_peers(me, known)),
+        "tick_ms": _fastest_ms(lambda: table.tick(1000)),
+        "links_ms": _fastest_ms(lambda: overlay.stream_peers(me, known)),
         "streams_opened": len(links),
         "heartbeat_bytes": size,
     }
 
 
-def reports(resident: int) -> dict:
-    """Measures one upstream's report as gossip carries it."""
+def measure_report(resident: int) -> dict:
+    """Measures an upstream's report as gossip carries it."""
     report = data.UpstreamReport(
         "w1000", "0123456789ab", 10**6, True, False, 20, 3,
         tuple(f"m{n}" for n in range(resident)), 500_000, 640_000,
@@ -167,12 +169,12 @@
     return {
         "resident": resident,
         "bytes": len(blob),
-        "decode_ms": _ms(lambda: codec.decode(blob)),
+        "decode_ms": _fastest_ms(lambda: codec.decode(blob)),
     }
 
 
-def replaying(count: int) -> dict:
-    """Measures replay of claims and the state's memory."""
+def measure_replay(count: int) -> dict:
+    """Measures the replay of `count` claims and the memory of the state."""
     payloads = []
     for number in range(count):
         claim = records.ClaimMade(
@@ -190,71 +192,76 @@
     state = replay.SharedState()
     for offset, payload in enumerate(payloads):
         state.apply(offset, payload)
-    held = tracemalloc.get_traced_memory()[0]
+    state_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
 
-    def again() -> None:
-        fresh = replay.SharedState()
+    def replay_all() -> None:
+        replayed = replay.SharedState()
         for offset, payload in enumerate(payloads):
-            fresh.apply(offset, payload)
+            replayed.apply(offset, payload)
 
     return {
         "claims": count,
-        "us_per_claim": round(_ms(again, 2) * 1000 / count, 1),
-        "bytes_per_claim": round(held / count),
+        "us_per_claim": round(_fastest_ms(replay_all, 2) * 1000 / count, 1),
+        "bytes_per_claim": round(state_bytes / count),
         "log_bytes_per_claim": len(payloads[0]),
-        "snapshot_ms": _ms(lambda: replay.snapshot(state), 1),
+        "snapshot_ms": _fastest_ms(lambda: replay.snapshot(state), 1),
         "snapshot_bytes": len(replay.snapshot(state).data),
     }
 
 
-def routing_cost(upstreams: int) -> dict:
-    """Measures one call's decisions with so many candidates."""
-    one = dispatch.Dispatcher(
+def measure_routing(upstreams: int) -> dict:
+    """Measures the routing decisions of a call among `upstreams` candidates."""
+    dispatcher = dispatch.Dispatcher(
         routing.EntryLocation("z0", "r0", {}),
         routing.LowestEstimatedCost(),
         random.Random(1),
     )
-    declared = declarations.parse(tree(max(3, upstreams), 1)).declarations
-    one.configure(declared, 8)
-    for name in list(one.upstreams)[:upstreams]:
+    declared = declarations.parse(
+        declarations_tree(max(3, upstreams), 1)
+    ).declarations
+    dispatcher.configure(declared, 8)
+    for name in list(dispatcher.upstreams)[:upstreams]:
         report = data.UpstreamReport(
             name, "e", 1, True, False, 0, 0, ("m0",), 0, 640_000
         )
-        one.report(report, 0)
+        dispatcher.report(report, 0)
     promise = data.Promise("p")
-    seen = estimates.Observation(0, 0, 50.0, 10.0, 500.0)
+    observation = estimates.Observation(0, 0, 50.0, 10.0, 500.0)
 
-    def calls() -> None:
+    def run_calls() -> None:
         for number in range(200):
             call = routing.Call(
                 f"c{number}", "caller", "m0", promise, 100, (1, 2), 0, 10**6, 5
             )
-            one.submit(call, 0)
-            one.finished(call.call_id, seen, True, 0)
+            dispatcher.submit(call, 0)
+            dispatcher.finished(call.call_id, observation, True, 0)
 
-    return {"candidates": upstreams, "us_per_call": round(_ms(calls) * 5, 1)}
+    return {
+        "candidates": upstreams,
+        "us_per_call": round(_fastest_ms(run_calls) * 5, 1),
+    }
 
 
-def measure() -> dict:
-    """Returns all slopes."""
+def measure_all() -> dict:
+    """Returns all measurements."""
     return {
         "configuration": [
-            configuration(*size)
+            measure_configuration(*size)
             for size in ((10, 20), (100, 100), (1000, 510), (10_000, 510))
         ],
         "planning": [
-            planning(*size)
+            measure_planning(*size)
             for size in ((6, 20), (90, 100), (300, 510), (900, 510))
         ],
-        "members": [members(count) for count in (8, 50, 273)],
-        "reports": [reports(count) for count in (3, 10, 30)],
-        "replaying": [replaying(count) for count in (1000, 10_000)],
-        "routing": [routing_cost(count) for count in (2, 16, 100)],
+        "members": [measure_members(count) for count in (8, 50, 273)],
+        "reports": [measure_report(count) for count in (3, 10, 30)],
+        "replaying": [measure_replay(count) for count in (1000, 10_000)],
+        "routing": [measure_routing(count) for count in (2, 16, 100)],
     }
 
 
 def main() -> int:
-    """Measures and prints; returns the exit code."""
-    print(json.dumps(measure(), indent=2))
+    """Prints the measurements as JSON; returns the exit code."""
+    print(json.dumps(measure_all(), indent=2))
     return 0
--- a/sesamecross/devtools/demo.py
+++ b/sesamecross/devtools/demo.py
@@ -1,7 +1,8 @@
-"""`make demo` and `make up`: a deployment for people and for outside checks.
+"""`make demo` and `make up`: a deployment on loopback for people and tools.
 
-Why: a newcomer sees the whole path with one command, and outside tools get a
-running deployment with its addresses in files.
+`make demo` shows the path of a call through all processes with one command.
+`make up` keeps a deployment running and writes its addresses to files, for
+external tools.
 """
 
 from collections.abc import Callable
@@ -23,16 +24,16 @@
 CHAT_ADAPTER = "advice-fade-a01"
 ORDER_PATH = "/services/orders/orders"
 
-Say = Callable[[str], None]
+PrintLine = Callable[[str], None]
 
 
 def demo_spec() -> deployment_lib.DeploymentSpec:
-    """Returns the Namib-like deployment of the demo."""
+    """Returns the spec of the demo, which is based on the `namib` example."""
     return deployment_lib.DeploymentSpec(EXAMPLE, entries_per_zone=2)
 
 
 class OperatorCli:
-    """Runs the operators' command as a person would."""
+    """Runs the operators' command line in this process."""
 
     def __init__(self, deployment: deployment_lib.Deployment):
         self._environment = {
@@ -41,7 +42,7 @@
         }
 
     def run(self, *arguments: str) -> tuple[int, str]:
-        """Returns the exit code and what was printed."""
+        """Runs one command; returns its exit code and output."""
         out = io.StringIO()
         command = command_line.CommandLine(
             self._environment, io.StringIO(), out, out
@@ -51,7 +52,7 @@
 
 
 class Caller:
-    """Calls entries over HTTP."""
+    """HTTP client of the entries."""
 
     def __init__(self, key: str = deployment_lib.CALLER_KEY):
         self._http = urllib3.PoolManager(
@@ -90,56 +91,64 @@
         return response.status, response.data
 
 
-def run_demo(say: Say) -> int:
-    """Runs the whole path once; returns the exit code."""
-    return runner_lib.Runner().run(lambda runner: _demo(runner, say))
+def run_demo(print_line: PrintLine) -> int:
+    """Runs the demo; returns the exit code."""
+    return runner_lib.Runner().run(lambda runner: _run_demo(runner, print_line))
 
 
-def _demo(runner: runner_lib.Runner, say: Say) -> int:
+def _run_demo(runner: runner_lib.Runner, print_line: PrintLine) -> int:
     began = time.monotonic()
     deployment = runner.deployment(demo_spec(), WORK_DIR)
-    failures = _tell(deployment, say)
+    failures = _show_deployment(deployment, print_line)
     for failure in failures:
-        say(f"FAILED: {failure}")
-    say("\nStopping everything, the callers' side first.")
+        print_line(f"FAILED: {failure}")
+    print_line("\nStopping all processes, the entries first.")
     codes = deployment.stop()
-    bad = {name: code for name, code in codes.items() if code != 0}
-    if bad:
-        say(f"FAILED: exit codes {bad}")
+    nonzero = {name: code for name, code in codes.items() if code != 0}
+    if nonzero:
+        print_line(f"FAILED: exit codes {nonzero}")
     else:
-        say(f"All {len(codes)} processes have stopped with exit code 0.")
-    say(f"The demo took {time.monotonic() - began:.1f} s.")
-    return 1 if failures or bad else 0
+        print_line(f"All {len(codes)} processes have stopped with exit code 0.")
+    print_line(f"The demo took {time.monotonic() - began:.1f} s.")
+    return 1 if failures or nonzero else 0
 
 
-def _tell(deployment: deployment_lib.Deployment, say: Say) -> list[str]:
+def _show_deployment(
+    deployment: deployment_lib.Deployment, print_line: PrintLine
+) -> list[str]:
     failures: list[str] = []
     operator = OperatorCli(deployment)
-    say("A Namib-like deployment on loopback: three availability zones, two")
-    say("entry instances each, six engines, three order services, and fakes")
-    say("of the platform's log, weight store and instance list.\n")
+    print_line(
+        "A deployment on loopback like the Namib example: three availability"
+    )
+    print_line(
+        "zones, two entry instances each, six engines, three order services,"
+    )
+    print_line(
+        "and fakes of the platform's log, weight store and instance list.\n"
+    )
     deployment.start_fakes()
     deployment.start_instances()
-    _tell_publish(deployment, operator, say, failures)
+    _show_publish(deployment, operator, print_line, failures)
     deployment.wait_ready()
     declared = deployment.declared
-    wanted = set(declared.models) | {CHAT_ADAPTER}
-    took_s = deployment.wait_resident(wanted)
-    say(
+    expected = set(declared.models) | {CHAT_ADAPTER}
+    took_s = deployment.wait_resident(expected)
+    print_line(
         "\nPlacement wrote intents and sent orders; all"
         f" {len(declared.models)} models are resident after {took_s:.1f} s."
     )
-    _tell_chat(deployment, operator, say, failures)
-    _tell_order(deployment, say, failures)
+    _show_chat(deployment, operator, print_line, failures)
+    _show_order(deployment, print_line, failures)
     _, text = operator.run("status")
-    say("\nsesamecross status\n" + text.rstrip())
+    print_line("\nsesamecross status\n" + text.rstrip())
     return failures
 
 
-def _tell_publish(
+def _show_publish(
     deployment: deployment_lib.Deployment,
     operator: OperatorCli,
-    say: Say,
+    print_line: PrintLine,
     failures: list[str],
 ) -> None:
     folder = str(deployment.config_dir)
@@ -151,15 +160,15 @@
     ):
         code, text = operator.run(*arguments)
         shown = " ".join(a if a != folder else "FOLDER" for a in arguments)
-        say(f"$ sesamecross {shown}\n{text.rstrip()}")
+        print_line(f"$ sesamecross {shown}\n{text.rstrip()}")
         if code != 0:
-            failures.append(f"{shown} ended with {code}")
+            failures.append(f"{shown} exited with code {code}")
 
 
-def _tell_chat(
+def _show_chat(
     deployment: deployment_lib.Deployment,
     operator: OperatorCli,
-    say: Say,
+    print_line: PrintLine,
     failures: list[str],
 ) -> None:
     caller = Caller()
@@ -169,19 +178,23 @@
             entry.entry_url, model, "Which blade for a skin fade?", 8
         )
         events = body.decode().strip().split("\n\n")
-        say(
+        print_line(
             f"\nA caller's chat with {model} at {entry.name}: HTTP {status},"
             f" {len(events)} events, the last one {events[-1]!r}."
         )
         if status != 200 or events[-1] != "data: [DONE]":
             failures.append(f"chat with {model}")
-    say("The call's story over all processes (sesamecross timeline --call):")
+    print_line(
+        "The call's events in all processes (sesamecross timeline --call):"
+    )
     _, text = operator.run("timeline", "--call", call_id)
-    say(text.rstrip())
+    print_line(text.rstrip())
 
 
-def _tell_order(
-    deployment: deployment_lib.Deployment, say: Say, failures: list[str]
+def _show_order(
+    deployment: deployment_lib.Deployment,
+    print_line: PrintLine,
+    failures: list[str],
 ) -> None:
     caller = Caller()
     first, second = deployment.instances[0], deployment.instances[-1]
@@ -192,18 +205,18 @@
                 (first, second),
             )
         )
-    runs = count_order_runs(deployment, "demo-1")
-    say(
-        f"\nOne order posted at the same moment to {first.name} and"
-        f" {second.name}: answers {[a[0] for a in answers]}, the services ran"
-        f" it {runs} time."
+    run_count = count_order_runs(deployment, "demo-1")
+    print_line(
+        f"\nThe same order posted concurrently to {first.name} and"
+        f" {second.name}: statuses {[a[0] for a in answers]}, executed"
+        f" {run_count} time(s) by the services."
     )
-    if runs != 1:
-        failures.append(f"the order ran {runs} times")
+    if run_count != 1:
+        failures.append(f"the order was executed {run_count} times")
 
 
 def count_order_runs(deployment: deployment_lib.Deployment, key: str) -> int:
-    """Returns how often the services ran a key, by their own records."""
+    """Returns how often the services executed a key, by their own counts."""
     total = 0
     for url in deployment.service_urls.values():
         stats = deployment_lib.processes.get_json(f"{url}/fake/stats")
@@ -211,8 +224,8 @@
     return total
 
 
-def write_files(deployment: deployment_lib.Deployment) -> None:
-    """Writes the addresses and process ids for outside tools."""
+def write_address_files(deployment: deployment_lib.Deployment) -> None:
+    """Writes the addresses and process ids for external tools."""
     entries = " ".join(i.entry_url for i in deployment.instances)
     engines = " ".join(deployment.engine_urls.values())
     services = " ".join(deployment.service_urls.values())
@@ -236,26 +249,28 @@
     )
     (WORK_DIR / "pids").write_text(pids, encoding="utf-8")
     text = "".join(f"{key}='{value}'\n" for key, value in lines.items())
-    # Written last and moved into place: whoever waits for this file finds a
-    # deployment that is ready.
+    # Written last and renamed into place: a tool that waits for this file finds
+    # a ready deployment and a complete file.
     (WORK_DIR / "env.new").write_text(text, encoding="utf-8")
     (WORK_DIR / "env.new").rename(WORK_DIR / "env")
 
 
-def run_up(say: Say) -> int:
+def run_up(print_line: PrintLine) -> int:
     """Keeps a deployment running until a signal; returns the exit code."""
-    return runner_lib.Runner().run(lambda runner: _up(runner, say))
+    return runner_lib.Runner().run(lambda runner: _run_up(runner, print_line))
 
 
-def _up(runner: runner_lib.Runner, say: Say) -> int:
+def _run_up(runner: runner_lib.Runner, print_line: PrintLine) -> int:
     deployment = runner.deployment(demo_spec(), WORK_DIR)
     try:
-        if not _start(deployment, say):
+        if not _start_deployment(deployment, print_line):
             return 1
-        say("Ready. Addresses are in .demo/env, processes in .demo/pids.")
+        print_line(
+            "Ready. Addresses are in .demo/env, processes in .demo/pids."
+        )
         threading.Event().wait()
     except runner_lib.StopRequested:
-        # Nothing is said before the stop: the terminal may be gone.
+        # Print nothing before the stop: the terminal may be closed.
         codes = deployment.stop()
     failed = {
         name: code
@@ -263,21 +278,27 @@
         if name.startswith(("entry", "steward")) and code not in (0, -9, -15)
     }
     if failed:
-        say(f"Some processes did not stop cleanly: {failed}")
+        print_line(f"Processes with an unexpected exit code: {failed}")
     return 1 if failed else 0
 
 
-def _start(deployment: deployment_lib.Deployment, say: Say) -> bool:
-    """Starts all and writes the addresses; tells whether it could."""
+def _start_deployment(
+    deployment: deployment_lib.Deployment, print_line: PrintLine
+) -> bool:
+    """Starts all processes and writes the addresses.
+
+    Returns:
+      False if the configuration was not published.
+    """
     deployment.start_fakes()
     deployment.start_instances()
     code, text = OperatorCli(deployment).run(
         "publish", str(deployment.config_dir), "--author", "up"
     )
-    say(text.rstrip())
+    print_line(text.rstrip())
     if code != 0:
         return False
     deployment.wait_ready()
     deployment.wait_resident(set(deployment.declared.models))
-    write_files(deployment)
+    write_address_files(deployment)
     return True
--- a/sesamecross/devtools/deployment.py
+++ b/sesamecross/devtools/deployment.py
@@ -1,8 +1,8 @@
 """A small deployment on loopback: fakes, stewards and entries.
 
-Why: one description serves the demo, `make up`, integration tests and
-measurements. Addresses are given to the example's folder by one more file at
-its end, as an operator would override them.
+The demo, `make up`, the integration tests and the benchmarks share it. Its
+addresses are written to an additional file that sorts last in the
+configuration folder, as an operator would override them.
 """
 
 from collections.abc import Callable
@@ -27,14 +27,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeploymentSpec:
-    """What to start.
+    """Which processes a deployment has, and their settings.
 
     Attributes:
       example: Folder of declarations to start from.
       entries_per_zone: Entry instances in each availability zone.
-      proxied: Whether all links between processes lead through the fault
-        proxy.
-      extra: Further declarations, merged last.
+      proxied: Whether the links to upstreams, peers and the log pass through
+        the fault proxy.
+      extra: Additional declarations, which override all others.
+      engine_flags: Additional flags of the fake engines; likewise the other
+        flags and settings.
     """
 
     example: pathlib.Path
@@ -51,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Instance:
-    """Addresses of one entry instance."""
+    """Name and addresses of an entry and the steward beside it."""
 
     name: str
     zone: str
@@ -62,12 +64,16 @@
 
     @property
     def entry_url(self) -> str:
-        """Where callers reach it."""
+        """The URL for callers."""
         return f"http://{self.entry_address}"
 
 
 class Deployment:
-    """Starts, names and stops the processes."""
+    """Starts and stops the processes of a deployment.
+
+    Attributes:
+      processes: By name; a restarted process replaces the previous one.
+    """
 
     def __init__(
         self,
@@ -77,13 +83,14 @@
             [], contextlib.AbstractContextManager
         ] = contextlib.nullcontext,
     ):
-        """Lays a deployment out; nothing is started.
+        """Writes the configuration and assigns addresses; starts nothing.
 
         Args:
-          shape: What to start.
-          work: Folder of its own, emptied first.
-          held: Keeps interruptions back while a process is started or the
-            deployment is stopped; a runner brings it.
+          spec: Which processes to start.
+          work_dir: A directory for this deployment alone; its contents are
+            deleted first.
+          defer_signals: Defers signals while a process is being started or
+            the deployment is being stopped; a `runner.Runner` provides it.
         """
         self._defer_signals = defer_signals
         self.spec = spec
@@ -93,45 +100,45 @@
         self.instances: list[Instance] = []
         self.engine_urls: dict[str, str] = {}
         self.service_urls: dict[str, str] = {}
-        self._prepare()
+        self._lay_out()
 
     # -- addresses -------------------------------------------------------
 
-    def _prepare(self) -> None:
+    def _lay_out(self) -> None:
         shutil.rmtree(self.work_dir, ignore_errors=True)
         self.config_dir.mkdir(parents=True)
         (self.work_dir / "logs").mkdir()
         for path in sorted(self.spec.example.glob("*.toml")):
             shutil.copy(path, self.config_dir / path.name)
-        checked = folder_lib.check(self.config_dir)
-        if checked.declarations is None:
-            raise ValueError("\n".join(map(str, checked.problems)))
-        self._declared = checked.declarations
+        check_result = folder_lib.check(self.config_dir)
+        if check_result.declarations is None:
+            raise ValueError("\n".join(map(str, check_result.problems)))
+        self._declared = check_result.declarations
         upstreams = list(self._declared.upstreams.values())
         zones = list(self._declared.zones.values())
         count = len(upstreams) + 4 + 3 * len(zones) * 5
         self._ports = iter(processes.free_ports(count * 2))
-        self.log_url = f"http://{self._address()}"
-        self.store_url = f"http://{self._address()}"
-        self.instances_url = f"http://{self._address()}"
-        self.proxy_url = f"http://{self._address()}"
+        self.log_url = f"http://{self._next_address()}"
+        self.store_url = f"http://{self._next_address()}"
+        self.instances_url = f"http://{self._next_address()}"
+        self.proxy_url = f"http://{self._next_address()}"
         self._links: dict[str, str] = {}
-        self._place_upstreams(upstreams)
-        self._place_instances(zones)
+        self._assign_upstream_urls(upstreams)
+        self._assign_instance_addresses(zones)
         self._write_overrides()
 
-    def _address(self) -> str:
+    def _next_address(self) -> str:
         return f"{HOST}:{next(self._ports)}"
 
-    def _place_upstreams(self, upstreams: list[data.Upstream]) -> None:
+    def _assign_upstream_urls(self, upstreams: list[data.Upstream]) -> None:
         for upstream in upstreams:
-            url = f"http://{self._address()}"
+            url = f"http://{self._next_address()}"
             if upstream.kind is data.UpstreamKind.ENGINE:
                 self.engine_urls[upstream.name] = url
             else:
                 self.service_urls[upstream.name] = url
 
-    def _place_instances(self, zones: list[data.Zone]) -> None:
+    def _assign_instance_addresses(self, zones: list[data.Zone]) -> None:
         for zone in zones:
             for number in range(1, self.spec.entries_per_zone + 1):
                 self.instances.append(
@@ -139,18 +146,18 @@
                         f"{zone.name}-entry-{number}",
                         zone.name,
                         zone.region,
-                        self._address(),
-                        self._address(),
-                        self._address(),
+                        self._next_address(),
+                        self._next_address(),
+                        self._next_address(),
                     )
                 )
 
     def via_proxy(self, link: str, address: str) -> str:
-        """Returns where `address` is reached, through the proxy if asked."""
+        """Returns the address to connect to: the proxy's if `proxied`."""
         if not self.spec.proxied:
             return address
         if link not in self._links:
-            self._links[link] = f"{self._address()}>{address}"
+            self._links[link] = f"{self._next_address()}>{address}"
         return self._links[link].partition(">")[0]
 
     def _proxied_url(self, link: str, url: str) -> str:
@@ -181,14 +188,14 @@
         if self.spec.extra:
             path = self.config_dir / "95-extra.toml"
             path.write_text(tomli_w.dumps(self.spec.extra))
-        checked = folder_lib.check(self.config_dir)
-        if checked.declarations is None:
-            raise ValueError("\n".join(map(str, checked.problems)))
-        self._declared = checked.declarations
+        check_result = folder_lib.check(self.config_dir)
+        if check_result.declarations is None:
+            raise ValueError("\n".join(map(str, check_result.problems)))
+        self._declared = check_result.declarations
 
     @property
     def declared(self) -> data.Declarations:
-        """The folder's declarations."""
+        """The declarations of the configuration folder."""
         return self._declared
 
     # -- processes -------------------------------------------------------
@@ -201,7 +208,7 @@
         return process
 
     def start_fakes(self) -> None:
-        """Starts the platform's and upstreams' fakes and waits for them."""
+        """Starts the fake platform and upstreams; waits until they answer."""
         self._start_platform()
         for name in self.engine_urls:
             self.start_engine(name)
@@ -218,7 +225,7 @@
                 ),
             )
         if self.spec.proxied:
-            self._prepare_instance_links()
+            self._add_instance_links()
             self._start_proxy()
         urls = [self.log_url, self.store_url, self.instances_url]
         urls += [*self.engine_urls.values(), *self.service_urls.values()]
@@ -258,9 +265,9 @@
             f"engine-{name}", processes.command("fake_engine", *flags)
         )
 
-    def _prepare_instance_links(self) -> None:
+    def _add_instance_links(self) -> None:
         for instance in self.instances:
-            self._log_url_of(instance)
+            self._log_url_for(instance)
             self.via_proxy(f"peer-{instance.name}", instance.steward_address)
 
     def _start_proxy(self) -> None:
@@ -270,11 +277,11 @@
         self._start("proxy", processes.command("fault_proxy", *flags))
         processes.wait_http(f"{self.proxy_url}/healthz")
 
-    def _log_url_of(self, instance: Instance) -> str:
+    def _log_url_for(self, instance: Instance) -> str:
         return self._proxied_url(f"log-{instance.name}", self.log_url)
 
     def start_instances(self) -> None:
-        """Lists and starts all stewards and entries."""
+        """Adds all instances to the instance list and starts them."""
         for instance in self.instances:
             self.set_instance_state(instance, "live", at_once=True)
         for instance in self.instances:
@@ -284,7 +291,7 @@
     def set_instance_state(
         self, instance: Instance, state: str, at_once: bool = False
     ) -> None:
-        """Sets an instance's line in the platform's list."""
+        """Sets an instance's entry in the platform's instance list."""
         address = self.via_proxy(
             f"peer-{instance.name}", instance.steward_address
         )
@@ -300,7 +307,7 @@
         )
 
     def start_steward(self, instance: Instance) -> processes.Process:
-        """Starts an instance's steward."""
+        """Starts the steward of an instance."""
         advertised = self.via_proxy(
             f"peer-{instance.name}", instance.steward_address
         )
@@ -311,15 +318,15 @@
             "listen": instance.steward_address,
             "advertise": advertised,
             "metrics_listen": instance.steward_http_address,
-            "log_url": self._log_url_of(instance),
+            "log_url": self._log_url_for(instance),
             "instances_url": self.instances_url,
             "shared_key": SHARED_KEY,
             **self.spec.steward_settings,
         }
-        return self._start_with("steward", instance, settings)
+        return self._start_program("steward", instance, settings)
 
     def start_entry(self, instance: Instance) -> processes.Process:
-        """Starts an instance's entry."""
+        """Starts the entry of an instance."""
         settings = {
             "instance": instance.name,
             "zone": instance.zone,
@@ -330,9 +337,9 @@
             "balancer_lag_ms": 300,
             **self.spec.entry_settings,
         }
-        return self._start_with("entry", instance, settings)
+        return self._start_program("entry", instance, settings)
 
-    def _start_with(
+    def _start_program(
         self, role: str, instance: Instance, settings: dict
     ) -> processes.Process:
         path = self.work_dir / f"{role}-{instance.name}.toml"
@@ -348,13 +355,13 @@
             processes.wait_http(f"{instance.entry_url}/readyz", timeout_s)
 
     def wait_resident(self, names: set[str], timeout_s: float = 25.0) -> float:
-        """Waits until each name is resident on some engine.
+        """Waits until each model or adapter is resident on some engine.
 
         Returns:
-          Seconds that it took.
+          The time that it took, in seconds.
 
         Raises:
-          NotReady: Some are still missing.
+          NotReadyError: Some are not resident after `timeout_s`.
         """
         began = time.monotonic()
         while True:
@@ -372,12 +379,17 @@
             time.sleep(0.1)
 
     def set_link_faults(self, link: str, **faults: object) -> None:
-        """Sets faults on a link of the proxy."""
+        """Sets faults on a link of the fault proxy."""
         body = {"link": link, **faults}
         processes.post_json(f"{self.proxy_url}/fake/faults", body)
 
     def stop(self) -> dict[str, int | None]:
-        """Stops all gracefully, callers' side first; returns exit codes."""
+        """Stops all processes, entries first, then stewards.
+
+        Returns:
+          The exit code of each process, by name; None for one that did not
+          stop in time and was killed.
+        """
         with self._defer_signals():
             return self._stop()
 
--- a/sesamecross/devtools/experiment.py
+++ b/sesamecross/devtools/experiment.py
@@ -1,8 +1,9 @@
 """Compares routing policies at equal load on equal accelerators.
 
-Why: attainment for each accelerator is the users' first measure. The same
-seeded schedules run against the product's policy and the baselines, each on
-a deployment of real processes on loopback.
+The primary measure is the attainment for each accelerator: the share of calls
+whose latency promise is kept. The same seeded schedules run with the product's
+policy and with the baselines, each on a deployment of real processes on
+loopback.
 """
 
 import json
@@ -24,8 +25,8 @@
     "--prefill-ms-per-token", "0.35", "--prefix-blocks", "700",
     "--threads", "300",
 )  # fmt: skip
-# Calls a second that the engines hold out with warm prefixes; phases are given
-# in multiples of it.
+# Calls per second that the engines sustain with cached prefixes. The rates of
+# the phases are multiples of it.
 CAPACITY = 26.0
 
 CALL_KINDS = (
@@ -42,8 +43,8 @@
 }
 
 
-def _folder(path: pathlib.Path) -> pathlib.Path:
-    """Writes the declarations of the experiment."""
+def _write_declarations(path: pathlib.Path) -> pathlib.Path:
+    """Writes the declarations of the experiment; returns their folder."""
     path.mkdir(parents=True, exist_ok=True)
     tree = {
         "regions": {"west": {}},
@@ -81,11 +82,11 @@
     return path
 
 
-def _start(
+def _start_deployment(
     runner: runner_lib.Runner, policy: str, work_dir: pathlib.Path
 ) -> deployment_lib.Deployment:
     spec = deployment_lib.DeploymentSpec(
-        _folder(work_dir / "folder"),
+        _write_declarations(work_dir / "folder"),
         entries_per_zone=2,
         engine_flags=ENGINE_FLAGS,
         store_flags=("--loads-per-second", "100", "--load-s", "0.02"),
@@ -97,11 +98,11 @@
     demo.OperatorCli(deployment).run("publish", str(deployment.config_dir))
     deployment.wait_ready()
     for url in deployment.engine_urls.values():
-        _wait_all_resident(url)
+        _wait_models_resident(url)
     return deployment
 
 
-def _wait_all_resident(url: str) -> None:
+def _wait_models_resident(url: str) -> None:
     deployment_lib.processes.wait_for(
         lambda: (
             set(MODELS)
@@ -115,12 +116,12 @@
     )
 
 
-def _events(deployment: deployment_lib.Deployment, what: str) -> tuple:
-    """Returns what happens four seconds into the measured phase."""
-    if what == "engine":
+def _fault_events(deployment: deployment_lib.Deployment, fault: str) -> tuple:
+    """Returns the fault to inject, four seconds into the measured phase."""
+    if fault == "engine":
         engine = deployment.processes["engine-writer-0"]
         return ((8.0, engine.kill),)
-    if what == "log":
+    if fault == "log":
         url = f"{deployment.log_url}/fake/faults"
         post = deployment_lib.processes.post_json
         return ((8.0, lambda: post(url, {"outage": True})),)
@@ -129,69 +130,71 @@
 
 def run(
     runner: runner_lib.Runner,
-    scene: str,
+    scenario: str,
     policies: list[str],
     seeds: list[int],
     work_dir: pathlib.Path,
 ) -> dict:
-    """Runs one scene; returns the figures by policy."""
-    factor, fault = SCENARIOS[scene]
+    """Runs one scenario; returns the figures by policy."""
+    factor, fault = SCENARIOS[scenario]
     phases = (
         load_lib.Phase(4.0, CAPACITY * 0.6, measured=False),
         load_lib.Phase(10.0, CAPACITY * factor),
     )
-    found: dict = {}
+    figures: dict = {}
     for policy in policies:
         runs = []
         deployment = None
         for seed in seeds:
             if deployment is None:
-                deployment = _start(runner, policy, work_dir / policy)
+                deployment = _start_deployment(
+                    runner, policy, work_dir / policy
+                )
             urls = [i.entry_url for i in deployment.instances]
             load = load_lib.LoadGenerator(urls, deployment_lib.CALLER_KEY)
             arrivals = load_lib.schedule(CALL_KINDS, phases, len(urls), seed)
-            results = load.run(arrivals, _events(deployment, fault))
+            results = load.run(arrivals, _fault_events(deployment, fault))
             runs.append(load_lib.summary(results, phases[1].seconds))
-            runs[-1]["engines"] = _engines(deployment)
+            runs[-1]["engines"] = _engine_figures(deployment)
             if fault:
                 deployment.stop()
                 deployment = None
         if deployment is not None:
             deployment.stop()
-        found[policy] = _over_seeds(runs)
-    return found
+        figures[policy] = _summarize_seeds(runs)
+    return figures
 
 
-def _engines(deployment: deployment_lib.Deployment) -> list[dict]:
-    """Returns each running engine's own figures."""
+def _engine_figures(deployment: deployment_lib.Deployment) -> list[dict]:
+    """Returns the counters of each engine that still runs."""
     names = ("tokens_made", "prompt_tokens", "cached_tokens", "mean_batch")
-    found = []
+    figures = []
     for name, url in deployment.engine_urls.items():
         if deployment.processes[f"engine-{name}"].is_running():
             stats = deployment_lib.processes.get_json(f"{url}/fake/stats")
-            found.append({key: stats[key] for key in names})
-    return found
+            figures.append({key: stats[key] for key in names})
+    return figures
 
 
-def _over_seeds(runs: list[dict]) -> dict:
-    attained = [one["all"]["attained"] for one in runs]
-    kept = [one["all"]["kept_per_s"] for one in runs]
+def _summarize_seeds(runs: list[dict]) -> dict:
+    attained_shares = [one["all"]["attained"] for one in runs]
+    kept_rates = [one["all"]["kept_per_s"] for one in runs]
     return {
-        "attained_median": statistics.median(attained),
-        "attained_each": attained,
-        "kept_per_s_median": statistics.median(kept),
+        "attained_median": statistics.median(attained_shares),
+        "attained_each": attained_shares,
+        "kept_per_s_median": statistics.median(kept_rates),
         "last": runs[-1],
     }
 
 
 def main(
-    scene: str, policies: list[str], seeds: list[int], work_dir: pathlib.Path
+    scenario: str, policies: list[str], seeds: list[int], work_dir: pathlib.Path
 ) -> int:
-    """Runs and prints; returns the exit code."""
+    """Runs a scenario and prints its figures as JSON; returns the exit code."""
 
-    def tool(runner: runner_lib.Runner) -> int:
-        found = run(runner, scene, policies, seeds, work_dir)
-        print(json.dumps({scene: found}, indent=2))
+    def run_scenario(runner: runner_lib.Runner) -> int:
+        figures = run(runner, scenario, policies, seeds, work_dir)
+        print(json.dumps({scenario: figures}, indent=2))
         return 0
 
-    return runner_lib.Runner().run(tool)
+    return runner_lib.Runner().run(run_scenario)
--- a/sesamecross/devtools/known_red.py
+++ b/sesamecross/devtools/known_red.py
@@ -1,8 +1,8 @@
-"""A pytest plugin that passes over the tests listed as known to fail.
+"""A pytest plugin that deselects the tests listed as known to fail.
 
-Why: a test of a real fault may land before its mend. CI stays green then, but
-only for the listed tests, and it prints each of them, so that none is
-forgotten. Without `--known-red` nothing is passed over.
+A test of a real fault may land before its fix. CI stays green then, but only
+for the listed tests, and it prints each of them, so that none is forgotten.
+Without `--known-red` no test is deselected.
 """
 
 import dataclasses
@@ -14,18 +14,18 @@
 
 
 class InvalidListError(ValueError):
-    """The list can't be read; the message says what to correct."""
+    """The list is malformed; the message says what to correct."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KnownFailure:
-    """One test that is known to fail.
+    """A test that is known to fail.
 
     Attributes:
       test: Its id, as pytest prints it.
-      command: What runs it, with the seed where there is one.
-      seen: What was seen.
-      issue: The open issue.
+      command: The command that runs it, with the seed if it has one.
+      seen: The failure that was observed.
+      issue: The number of the open issue.
     """
 
     test: str
@@ -35,14 +35,14 @@
 
 
 def parse(text: str) -> tuple[KnownFailure, ...]:
-    """Returns the entries of a list.
+    """Parses a list of known failures.
 
     Entries are separated by empty lines. Each has the fields `test`,
-    `command`, `seen` and `issue`, a line each: `name: text`. Lines that begin
-    with `#` are comments.
+    `command`, `seen` and `issue`, one per line: `name: text`. Lines that
+    begin with `#` are comments.
 
     Raises:
-      BadList: A field is missing, unknown or given twice.
+      InvalidListError: A field is missing, unknown or given twice.
     """
     entries = []
     lines = [
@@ -50,11 +50,11 @@
     ]
     for block in "\n".join(lines).split("\n\n"):
         if block.strip():
-            entries.append(_entry(block.strip().splitlines()))
+            entries.append(_parse_entry(block.strip().splitlines()))
     return tuple(entries)
 
 
-def _entry(lines: list[str]) -> KnownFailure:
+def _parse_entry(lines: list[str]) -> KnownFailure:
     fields: dict[str, str] = {}
     for line in lines:
         name, _, value = line.partition(":")
@@ -75,11 +75,11 @@
     parser.addoption(
         "--known-red",
         type=pathlib.Path,
-        help="pass over the tests that this file lists as known to fail",
+        help="deselect the tests that this file lists as known to fail",
     )
 
 
-def _listed(config: pytest.Config) -> tuple[KnownFailure, ...]:
+def _read_list(config: pytest.Config) -> tuple[KnownFailure, ...]:
     path = config.getoption("--known-red")
     if path is None or not path.exists():
         return ()
@@ -89,14 +89,14 @@
 def pytest_collection_modifyitems(
     config: pytest.Config, items: list[pytest.Item]
 ) -> None:
-    """Takes the listed tests out, and no others.
+    """Deselects the listed tests, and no others.
 
     Raises:
-      pytest.UsageError: A listed test does not exist; its entry would pass
-        over nothing and look as if it did.
+      pytest.UsageError: A listed test does not exist, so that its entry would
+        deselect nothing without anyone noticing.
     """
     try:
-        listed = {entry.test for entry in _listed(config)}
+        listed = {entry.test for entry in _read_list(config)}
     except InvalidListError as error:
         raise pytest.UsageError(str(error)) from error
     unknown = listed - {item.nodeid for item in items}
@@ -104,16 +104,16 @@
         raise pytest.UsageError(
             f"correct or remove entries of unknown tests: {sorted(unknown)}"
         )
-    passed_over = [item for item in items if item.nodeid in listed]
+    deselected = [item for item in items if item.nodeid in listed]
     items[:] = [item for item in items if item.nodeid not in listed]
-    config.hook.pytest_deselected(items=passed_over)
+    config.hook.pytest_deselected(items=deselected)
 
 
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter, config: pytest.Config
 ) -> None:
-    """Prints what was passed over."""
-    for entry in _listed(config):
+    """Prints the deselected tests."""
+    for entry in _read_list(config):
         terminalreporter.write_line(
             f"KNOWN RED, passed over: {entry.test} (issue {entry.issue}):"
             f" {entry.seen} Run: {entry.command}"
--- a/sesamecross/devtools/known_red_test.py
+++ b/sesamecross/devtools/known_red_test.py
@@ -1,4 +1,4 @@
-"""Tests of what CI passes over: the listed tests, and just these."""
+"""Tests that exactly the tests listed as known to fail are deselected."""
 
 import pathlib
 import subprocess
@@ -27,17 +27,17 @@
 """
 
 
-def run(
-    work: pathlib.Path, entries: str, *flags: str
+def run_suite(
+    work_dir: pathlib.Path, entries: str, *flags: str
 ) -> subprocess.CompletedProcess:
-    """Runs the suite above in a process of its own."""
-    (work / "a_test.py").write_text(SUITE, encoding="utf-8")
-    (work / "RED.txt").write_text(entries, encoding="utf-8")
+    """Runs `SUITE` in a separate process."""
+    (work_dir / "a_test.py").write_text(SUITE, encoding="utf-8")
+    (work_dir / "RED.txt").write_text(entries, encoding="utf-8")
     plugin = ("-p", "sesamecross.devtools.known_red", "-p", "no:cacheprovider")
     command = (sys.executable, "-m", "pytest", "-q", *plugin, *flags)
     return subprocess.run(
-        (*command, "--rootdir", str(work), str(work)),
-        cwd=work,
+        (*command, "--rootdir", str(work_dir), str(work_dir)),
+        cwd=work_dir,
         capture_output=True,
         text=True,
         check=False,
@@ -48,29 +48,33 @@
 def test_just_the_listed_tests_are_passed_over(tmp_path):
     entries = ENTRY.format(test="a_test.py::test_red")
     entries += ENTRY.format(test="a_test.py::test_table[2]")
-    ended = run(tmp_path, entries, "--known-red", str(tmp_path / "RED.txt"))
-    assert "1 failed, 2 passed, 2 deselected" in ended.stdout
-    assert "FAILED a_test.py::test_red_as_well" in ended.stdout
+    result = run_suite(
+        tmp_path, entries, "--known-red", str(tmp_path / "RED.txt")
+    )
+    assert "1 failed, 2 passed, 2 deselected" in result.stdout
+    assert "FAILED a_test.py::test_red_as_well" in result.stdout
     assert "KNOWN RED, passed over: a_test.py::test_red (issue 16)" in (
-        ended.stdout
+        result.stdout
     )
-    assert ended.returncode == pytest.ExitCode.TESTS_FAILED
+    assert result.returncode == pytest.ExitCode.TESTS_FAILED
 
 
 def test_nothing_is_passed_over_unless_asked(tmp_path):
-    ended = run(tmp_path, ENTRY.format(test="a_test.py::test_red"))
-    assert "3 failed, 2 passed" in ended.stdout
+    result = run_suite(tmp_path, ENTRY.format(test="a_test.py::test_red"))
+    assert "3 failed, 2 passed" in result.stdout
 
 
 def test_an_entry_of_an_unknown_test_is_an_error(tmp_path):
     entries = ENTRY.format(test="a_test.py::test_rename")
-    ended = run(tmp_path, entries, "--known-red", str(tmp_path / "RED.txt"))
-    assert "entries of unknown tests" in ended.stderr
-    assert ended.returncode == pytest.ExitCode.USAGE_ERROR
+    result = run_suite(
+        tmp_path, entries, "--known-red", str(tmp_path / "RED.txt")
+    )
+    assert "entries of unknown tests" in result.stderr
+    assert result.returncode == pytest.ExitCode.USAGE_ERROR
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected_text"),
     [
         ("test: a\ncommand: b\nseen: c\n", "add the fields ['issue']"),
         ("test: a\ntest: b\n", "once"),
@@ -78,10 +82,10 @@
         ("why: a\n", "write each of"),
     ],
 )
-def test_a_list_that_cannot_be_read_is_an_error(text, said):
+def test_a_list_that_cannot_be_read_is_an_error(text, expected_text):
     with pytest.raises(known_red.InvalidListError, match=None) as raised:
         known_red.parse(text)
-    assert said in str(raised.value)
+    assert expected_text in str(raised.value)
 
 
 def test_entries_are_read_whole():
--- a/sesamecross/devtools/load.py
+++ b/sesamecross/devtools/load.py
@@ -1,8 +1,8 @@
-"""Open-loop load on entries, from a seeded and declared mix.
+"""Open-loop load generator: sends a seeded mix of calls to entries.
 
-Why: attainment must be compared at equal load. Calls arrive by a schedule
-that is made from the seed before the first one is sent and does not wait for
-answers, as callers do not.
+Attainment has to be compared at equal load. So the schedule of arrivals is
+made from the seed in advance and, like independent callers, does not wait for
+answers.
 """
 
 from collections.abc import Callable
@@ -16,17 +16,21 @@
 from hdrh import histogram
 import urllib3
 
-_MOST_MS = 60_000
+_MAX_MS = 60_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallKind:
-    """One kind of calls in the mix.
+    """A class of calls in the mix.
 
     Attributes:
-      share: Its share of arrivals.
-      prefixes: Distinct shared prompt beginnings.
-      prefix_tokens: Length of those. own_tokens: length of what differs.
+      share: Fraction of the arrivals.
+      prefixes: Number of distinct prompt prefixes, which calls share.
+      prefix_tokens: Length of a prefix.
+      own_tokens: Length of the part of a prompt that no other call has.
+      answer_tokens: Number of tokens to generate.
+      first_token_ms: Limit on the time to the first token.
+      between_tokens_ms: Limit on the mean time between tokens.
     """
 
     name: str
@@ -42,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Phase:
-    """A stretch of time with one rate of arrivals, in calls a second."""
+    """A period with a constant arrival rate, in calls per second."""
 
     seconds: float
     rate: float
@@ -51,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """One call of the schedule."""
+    """A scheduled call; `entry` is the index of the entry to call."""
 
     at_s: float
     kind: CallKind
@@ -63,7 +67,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """What became of one call."""
+    """The outcome of a call.
+
+    Attributes:
+      status: HTTP status, or 0 if the connection failed or timed out.
+      is_complete: Whether the stream ended with its end marker.
+      executed: Whether the call ran: "yes", "no" or "unknown".
+    """
 
     arrival: Arrival
     status: int
@@ -75,7 +85,7 @@
 
     @property
     def meets_promise(self) -> bool:
-        """Whether the promise of its kind was kept."""
+        """Whether the latency promise of its kind was kept."""
         kind = self.arrival.kind
         return (
             self.is_complete
@@ -90,25 +100,25 @@
     entries: int,
     seed: int,
 ) -> list[Arrival]:
-    """Returns all arrivals; the same for the same arguments."""
+    """Returns all arrivals; equal arguments give an equal schedule."""
     rng = random.Random(seed)
-    turn = itertools.cycle(range(entries))
+    entry_indexes = itertools.cycle(range(entries))
     arrivals = []
     start = 0.0
     for phase in phases:
-        at = start
+        arrival_s = start
         while True:
-            at += rng.expovariate(phase.rate)
-            if at >= start + phase.seconds:
+            arrival_s += rng.expovariate(phase.rate)
+            if arrival_s >= start + phase.seconds:
                 break
             kind = rng.choices(kinds, [k.share for k in kinds])[0]
             arrivals.append(
                 Arrival(
-                    at,
+                    arrival_s,
                     kind,
-                    _skewed(rng, kind.models),
-                    _prompt(rng, kind, seed),
-                    next(turn),
+                    _choose_skewed(rng, kind.models),
+                    _make_prompt(rng, kind, seed),
+                    next(entry_indexes),
                     phase.measured,
                 )
             )
@@ -116,12 +126,12 @@
     return arrivals
 
 
-def _skewed(rng: random.Random, names: tuple[str, ...]) -> str:
-    weights = [1 / (place + 1) for place in range(len(names))]
+def _choose_skewed(rng: random.Random, names: tuple[str, ...]) -> str:
+    weights = [1 / (rank + 1) for rank in range(len(names))]
     return rng.choices(names, weights)[0]
 
 
-def _prompt(rng: random.Random, kind: CallKind, seed: int) -> str:
+def _make_prompt(rng: random.Random, kind: CallKind, seed: int) -> str:
     prefix = rng.randrange(kind.prefixes)
     shared = f"{kind.name} {seed} {prefix} ".ljust(16, ".")
     own = f"{rng.random():.12f} "
@@ -131,7 +141,7 @@
 
 
 class LoadGenerator:
-    """Sends a schedule to entries and collects what became of it."""
+    """Sends a schedule of calls to entries and collects the outcomes."""
 
     def __init__(self, urls: list[str], key: str, threads: int = 400):
         self._urls = urls
@@ -146,11 +156,11 @@
         arrivals: list[Arrival],
         events: tuple[tuple[float, Callable[[], None]], ...] = (),
     ) -> list[Result]:
-        """Sends all arrivals in time; returns their results.
+        """Sends all arrivals at their times; returns their results.
 
         Args:
           arrivals: The schedule.
-          events: What else happens, by seconds since the start.
+          events: Functions to call, with seconds since the start.
         """
         plan = [(a.at_s, a) for a in arrivals] + list(events)
         plan.sort(key=lambda item: item[0])
@@ -162,19 +172,19 @@
                 if wait_s > 0:
                     time.sleep(wait_s)
                 if isinstance(item, Arrival):
-                    futures.append(pool.submit(self._call, item))
+                    futures.append(pool.submit(self._send_call, item))
                 else:
                     item()
             return [future.result() for future in futures]
 
-    def _call(self, arrival: Arrival) -> Result:
+    def _send_call(self, arrival: Arrival) -> Result:
         began = time.monotonic()
         try:
-            return self._stream(arrival, began)
+            return self._read_stream(arrival, began)
         except urllib3.exceptions.HTTPError:
-            return Result(arrival, 0, _MOST_MS, 0.0, 0, False, "unknown")
+            return Result(arrival, 0, _MAX_MS, 0.0, 0, False, "unknown")
 
-    def _stream(self, arrival: Arrival, began: float) -> Result:
+    def _read_stream(self, arrival: Arrival, began: float) -> Result:
         response = self._http.request(
             "POST",
             self._urls[arrival.entry % len(self._urls)]
@@ -189,10 +199,10 @@
             preload_content=False,
         )
         if response.status != 200:
-            executed = _executed(response.read())
+            executed = _executed_field(response.read())
             response.release_conn()
             return Result(
-                arrival, response.status, _MOST_MS, 0.0, 0, False, executed
+                arrival, response.status, _MAX_MS, 0.0, 0, False, executed
             )
         first = last = 0.0
         events = 0
@@ -215,7 +225,7 @@
         )
 
 
-def _executed(body: bytes) -> str:
+def _executed_field(body: bytes) -> str:
     try:
         return str(json.loads(body).get("executed", "unknown"))
     except ValueError:
@@ -223,7 +233,7 @@
 
 
 def summary(results: list[Result], seconds: float) -> dict:
-    """Returns the figures of the measured calls."""
+    """Returns the figures of the measured calls: of all, and by kind."""
     measured = [r for r in results if r.arrival.measured]
     by_kind = {}
     for name in sorted({r.arrival.kind.name for r in measured}):
@@ -233,16 +243,16 @@
 
 
 def _figures(results: list[Result], seconds: float) -> dict:
-    first = histogram.HdrHistogram(1, _MOST_MS, 2)
+    first = histogram.HdrHistogram(1, _MAX_MS, 2)
     answered = [r for r in results if r.is_complete]
     for result in answered:
         first.record_value(max(1, int(result.first_token_ms)))
-    meets_promise = sum(result.meets_promise for result in results)
+    kept_count = sum(result.meets_promise for result in results)
     refused = sum(result.status in (429, 503) for result in results)
     return {
         "calls": len(results),
-        "attained": round(meets_promise / max(1, len(results)), 4),
-        "kept_per_s": round(meets_promise / seconds, 2),
+        "attained": round(kept_count / max(1, len(results)), 4),
+        "kept_per_s": round(kept_count / seconds, 2),
         "answered": len(answered),
         "refused": refused,
         "failed": len(results) - len(answered) - refused,
--- a/sesamecross/devtools/processes.py
+++ b/sesamecross/devtools/processes.py
@@ -1,7 +1,7 @@
 """Starts and stops the processes of a deployment on loopback.
 
-Why: the demo, `make up` and integration tests play the platform. This is
-scaffolding: no program of the product starts another.
+For the demo, `make up` and integration tests, which stand in for the platform:
+no program of the product starts another.
 """
 
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Returns ports on loopback that were free a moment ago."""
+    """Returns loopback ports that were free just now; they are not reserved."""
     sockets = [socket.socket() for _ in range(count)]
     try:
         for one in sockets:
@@ -51,10 +51,10 @@
         """Starts the process.
 
         Args:
-          name: What tests and logs call it.
+          name: Its name in tests and logs.
           command: The program and its arguments.
-          log_path: Where its output goes.
-          variables: Added to this process's own environment.
+          log_path: File to which its output is appended.
+          variables: Environment variables, added to those of this process.
         """
         self.name = name
         self.command = command
@@ -66,8 +66,8 @@
                 stdout=log,
                 stderr=log,
                 env={**os.environ, **(variables or {})},
-                # An interrupt at the terminal reaches the runner only, which
-                # then stops everything in order.
+                # A terminal's interrupt reaches the runner only, which then
+                # stops all processes in order.
                 start_new_session=True,
             )
 
@@ -77,11 +77,11 @@
         return self.popen.pid
 
     def is_running(self) -> bool:
-        """Tells whether the process has not ended."""
+        """Returns whether the process has not ended."""
         return self.popen.poll() is None
 
     def terminate(self) -> None:
-        """Asks for a graceful stop."""
+        """Requests a graceful stop, unless the process has ended."""
         if self.is_running():
             self.popen.terminate()
 
@@ -91,24 +91,24 @@
             self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """Ends the process at once."""
+        """Kills the process, unless it has ended."""
         if self.is_running():
             self.popen.kill()
 
     def wait(self, timeout_s: float = STOP_TIMEOUT_S) -> int | None:
-        """Returns the exit code, or None if it did not end in time."""
+        """Returns the exit code, or None if the process did not end in time."""
         try:
             return self.popen.wait(timeout_s)
         except subprocess.TimeoutExpired:
             return None
 
     def log_text(self) -> str:
-        """Returns what the process wrote so far."""
+        """Returns the output of the process so far."""
         return self.log_path.read_text(errors="replace")
 
 
 def command(module: str, *flags: str) -> list[str]:
-    """Returns the command that runs one of the project's scripts."""
+    """Returns the command that runs a module of `sesamecross.scripts`."""
     return [sys.executable, "-m", f"sesamecross.scripts.{module}", *flags]
 
 
@@ -118,30 +118,30 @@
 
 
 def get_json(url: str) -> object:
-    """Returns the JSON at `url`."""
+    """Returns the JSON document at `url`."""
     return _http.request("GET", url).json()
 
 
 def post_json(url: str, body: object) -> object:
-    """Posts JSON and returns the JSON that comes back."""
+    """Posts a JSON document; returns the JSON document of the answer."""
     return _http.request("POST", url, json=body).json()
 
 
 def wait_for(
-    holds: Callable[[], bool],
-    what: str,
+    condition: Callable[[], bool],
+    description: str,
     timeout_s: float = READY_TIMEOUT_S,
     pause_s: float = 0.1,
 ) -> None:
-    """Waits until `holds` is true, and looks again after each pause.
+    """Polls until `condition` is true, `pause_s` apart.
 
     Raises:
-      NotReady: It was not in time.
+      NotReadyError: It was not true within `timeout_s`.
     """
-    until = time.monotonic() + timeout_s
-    while not holds():
-        if time.monotonic() > until:
-            raise NotReadyError(f"{what}: not within {timeout_s} s")
+    deadline = time.monotonic() + timeout_s
+    while not condition():
+        if time.monotonic() > deadline:
+            raise NotReadyError(f"{description}: not within {timeout_s} s")
         time.sleep(pause_s)
 
 
@@ -149,10 +149,10 @@
     """Waits until `url` answers 200.
 
     Raises:
-      NotReady: It did not in time.
+      NotReadyError: It did not within `timeout_s`.
     """
-    until = time.monotonic() + timeout_s
-    while time.monotonic() < until:
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() < deadline:
         try:
             if _http.request("GET", url).status == 200:
                 return
--- a/sesamecross/devtools/relay_bench.py
+++ b/sesamecross/devtools/relay_bench.py
@@ -1,8 +1,8 @@
-"""Measures what the relay costs: time, processor and memory.
+"""Measures the overhead of relaying: latency, CPU time and memory.
 
-Why: the entry stands in the path of every token. The same calls go straight
-to the engines and through one entry, in turn in one run, so that the
-difference is the entry's.
+The entry is in the path of every token. In one run the same calls alternate
+between the engines directly and one entry, so that the difference is the cost
+of the entry.
 """
 
 import concurrent.futures
@@ -20,7 +20,7 @@
 from sesamecross.devtools import usage
 
 MODEL = "advice-fade"
-LEAST_HOLDERS = 2
+MIN_HOLDERS = 2
 ENGINE_FLAGS = (
     "--step-ms", "20", "--per-call-ms", "0", "--batch", "64",
     "--prefill-ms-per-token", "0", "--threads", "160",
@@ -28,7 +28,7 @@
 EXTRA = {
     "store": {"loads_per_second": 100, "full_speed_loads": 20},
     "models": {MODEL: {"replicas": 6}},
-    # The relay is measured, not admission: no call waits for room.
+    # This measures the relay, not admission control: no call may be queued.
     "upstreams": {
         f"advice-model-{number}": {"concurrency": 200} for number in range(1, 7)
     },
@@ -38,14 +38,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """One call's times in milliseconds."""
+    """Latencies of a call, in milliseconds, and its number of tokens."""
 
     first_token_ms: float
     between_tokens_ms: float
     tokens: int
 
 
-def _call(
+def _stream_call(
     pool: urllib3.PoolManager, url: str, tokens: int, number: int
 ) -> Sample:
     began = time.perf_counter()
@@ -77,28 +77,28 @@
     return Sample((first - began) * 1000, between, events - 1)
 
 
-def _run(urls: list[str], streams: int, calls: int, tokens: int):
+def _run_calls(urls: list[str], streams: int, calls: int, tokens: int):
     pool = urllib3.PoolManager(
         num_pools=64, maxsize=streams, retries=False, timeout=60.0
     )
     with concurrent.futures.ThreadPoolExecutor(streams) as threads:
         return list(
             threads.map(
-                lambda n: _call(pool, urls[n % len(urls)], tokens, n),
+                lambda n: _stream_call(pool, urls[n % len(urls)], tokens, n),
                 range(calls),
             )
         )
 
 
-def _percentile(values: list[float], share: float) -> float:
+def _percentile(values: list[float], fraction: float) -> float:
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 def run(
     runner: runner_lib.Runner, work_dir: pathlib.Path, streams: int, rounds: int
 ) -> dict:
-    """Measures and returns the figures."""
+    """Starts a deployment, measures it and returns the figures."""
     spec = deployment_lib.DeploymentSpec(
         demo.EXAMPLE,
         entries_per_zone=1,
@@ -112,7 +112,7 @@
     deployment.start_instances()
     demo.OperatorCli(deployment).run("publish", str(deployment.config_dir))
     deployment.wait_ready()
-    _wait_replicas(deployment)
+    _wait_for_replicas(deployment)
     return _measure(deployment, streams, rounds)
 
 
@@ -125,15 +125,19 @@
     ]
 
 
-def _wait_replicas(deployment: deployment_lib.Deployment) -> None:
-    """Waits until the model is on several engines and stays so."""
-    until = time.monotonic() + 30
-    while time.monotonic() < until:
+def _wait_for_replicas(deployment: deployment_lib.Deployment) -> None:
+    """Waits until the set of engines with the model is large and stable.
+
+    Raises:
+      RuntimeError: It was not within 30 s.
+    """
+    deadline = time.monotonic() + 30
+    while time.monotonic() < deadline:
         before = _holders(deployment)
         time.sleep(3.0)
-        if len(before) >= LEAST_HOLDERS and _holders(deployment) == before:
+        if len(before) >= MIN_HOLDERS and _holders(deployment) == before:
             return
-    raise RuntimeError(f"{MODEL} is on too few engines")
+    raise RuntimeError(f"{MODEL} is not stably resident on enough engines")
 
 
 def _measure(
@@ -149,10 +153,10 @@
         relayed: list[Sample] = []
         cpu_s = wall_s = 0.0
         for _ in range(rounds):
-            direct += _run(engines, count, count * 3, 50)
+            direct += _run_calls(engines, count, count * 3, 50)
             before = usage.read_usage(entry.pid).cpu_s
             began = time.monotonic()
-            relayed += _run([instance.entry_url], count, count * 3, 50)
+            relayed += _run_calls([instance.entry_url], count, count * 3, 50)
             wall_s += time.monotonic() - began
             cpu_s += usage.read_usage(entry.pid).cpu_s - before
         results[label] = _figures(direct, relayed, cpu_s, wall_s)
@@ -197,10 +201,10 @@
 
 
 def main(work_dir: pathlib.Path, streams: int, rounds: int) -> int:
-    """Measures and prints; returns the exit code."""
+    """Prints the figures as JSON; returns the exit code."""
 
-    def tool(runner: runner_lib.Runner) -> int:
+    def run_benchmark(runner: runner_lib.Runner) -> int:
         print(json.dumps(run(runner, work_dir, streams, rounds), indent=2))
         return 0
 
-    return runner_lib.Runner().run(tool)
+    return runner_lib.Runner().run(run_benchmark)
--- a/sesamecross/devtools/runner.py
+++ b/sesamecross/devtools/runner.py
@@ -1,14 +1,13 @@
-"""Runs a tool so that nothing it started outlives it.
+"""Runs a tool and stops the processes that it started when it ends.
 
-Why: the processes of a deployment are sessions of their own, so that an
-interrupt at the terminal reaches the tool alone, which stops them in order.
-A tool that a signal ends before that leaves all of them running for ever:
-a closed terminal (SIGHUP), a signal while processes are still being started,
-or a second one in the middle of the stop. Here each of these signals becomes
-one exception, once, never while a process is being started or stopped.
+The processes of a deployment have their own sessions, so that an interrupt at
+the terminal reaches the tool alone, which stops them in order. A tool that a
+signal terminates before that leaves all of them running: SIGHUP from a closed
+terminal, a signal while processes are still being started, or a second signal
+during the stop. So the first signal raises an exception, deferred while a
+process is being started or stopped, and later signals are ignored.
 
-SIGKILL can't be handled: what was started goes on then, and has to be ended
-by its ids.
+SIGKILL can't be handled: the processes then have to be killed by their ids.
 """
 
 from collections.abc import Callable
@@ -20,12 +19,12 @@
 from sesamecross.devtools import deployment as deployment_lib
 from sesamecross.runtime import signals
 
-# A shell's code for "ended by signal n".
+# A shell reports a process that signal n ended as 128 + n.
 SIGNAL_EXIT_BASE = 128
 
 
 class StopRequested(BaseException):
-    """A signal asks the tool to stop. No `except Exception` takes it."""
+    """A signal requests a stop. `except Exception` does not catch it."""
 
     def __init__(self, number: int):
         super().__init__(signal.Signals(number).name)
@@ -33,20 +32,21 @@
 
 
 class Runner:
-    """Owns a tool's signals and the deployments that it starts."""
+    """Handles the signals of a tool and owns its deployments."""
 
-    __slots__ = ("_asked", "_holds", "_deployments")
+    __slots__ = ("_requested_signal", "_defer_depth", "_deployments")
 
     def __init__(self) -> None:
-        self._asked: int | None = None
-        self._holds = 0
+        self._requested_signal: int | None = None
+        self._defer_depth = 0
         self._deployments: list[deployment_lib.Deployment] = []
 
     def run(self, tool: Callable[["Runner"], int]) -> int:
         """Runs a tool to its end; returns its exit code.
 
-        A signal raises `StopAsked` in the tool, which may take it to report
-        what it stopped; otherwise the code is 128 and the signal's number.
+        A signal raises `StopRequested` in the tool, which may catch it to
+        report what it stopped. Otherwise the exit code is 128 plus the number
+        of the signal.
         """
         signals.install_cli_handler(self._on_signal)
         try:
@@ -54,40 +54,46 @@
                 return tool(self)
             finally:
                 self._stop_all()
-        except StopRequested as asked:
-            # It may have come in the stop above, before anything held it.
-            # There is no second one, so this stop goes to its end.
+        except StopRequested as request:
+            # The signal may have interrupted the stop above before signals were
+            # deferred. No second exception follows, so this stop completes.
             self._stop_all()
-            return SIGNAL_EXIT_BASE + asked.number
+            return SIGNAL_EXIT_BASE + request.number
 
     def deployment(
         self, spec: deployment_lib.DeploymentSpec, work_dir: pathlib.Path
     ) -> deployment_lib.Deployment:
-        """Returns a deployment that is stopped with the tool at the latest."""
-        one = deployment_lib.Deployment(spec, work_dir, self._defer_signals)
-        self._deployments.append(one)
-        return one
+        """Creates a deployment, which is stopped when the tool ends."""
+        deployment = deployment_lib.Deployment(
+            spec, work_dir, self._defer_signals
+        )
+        self._deployments.append(deployment)
+        return deployment
 
     def _stop_all(self) -> None:
-        for one in self._deployments:
-            one.stop()
+        for deployment in self._deployments:
+            deployment.stop()
 
     def _on_signal(self, number: int, _frame: object) -> None:
-        if self._asked is not None:
-            # The tool is on its way out already.
+        if self._requested_signal is not None:
+            # The tool is already stopping.
             return
-        self._asked = number
-        if not self._holds:
+        self._requested_signal = number
+        if not self._defer_depth:
             raise StopRequested(number)
 
     @contextlib.contextmanager
     def _defer_signals(self) -> Iterator[None]:
-        """Keeps a signal back until what is inside is whole."""
-        was_asked = self._asked is not None
-        self._holds += 1
+        """Defers a signal until the block has ended."""
+        was_requested = self._requested_signal is not None
+        self._defer_depth += 1
         try:
             yield
         finally:
-            self._holds -= 1
-        if self._asked is not None and not was_asked and not self._holds:
-            raise StopRequested(self._asked)
+            self._defer_depth -= 1
+        if (
+            self._requested_signal is not None
+            and not was_requested
+            and not self._defer_depth
+        ):
+            raise StopRequested(self._requested_signal)
--- a/sesamecross/devtools/usage.py
+++ b/sesamecross/devtools/usage.py
@@ -1,19 +1,19 @@
-"""Reads what a process has used, from the kernel's own accounting."""
+"""Reads the resource usage of a process from /proc."""
 
 import dataclasses
 import os
 
-_TICKS = os.sysconf("SC_CLK_TCK")
+_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process has used so far.
+    """Resource usage of a process.
 
     Attributes:
-      cpu_s: User and system seconds.
-      resident_mib: All pages in memory, shared library text included.
-      private_mib: Anonymous pages, which are the process's own.
+      cpu_s: User and system time since its start.
+      resident_mib: All pages in memory, including shared library text.
+      private_mib: Anonymous pages, which are private to the process.
     """
 
     cpu_s: float
@@ -25,7 +25,7 @@
     """Returns the usage of a running process."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as stat:
         fields = stat.read().rpartition(")")[2].split()
-    cpu_s = (int(fields[11]) + int(fields[12])) / _TICKS
+    cpu_s = (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
     sizes = {}
     with open(f"/proc/{pid}/smaps_rollup", encoding="ascii") as rollup:
         for line in rollup:
