--- a/tests/calls_test.py
+++ b/tests/calls_test.py
@@ -1,4 +1,4 @@
-"""Calls to models over real processes under faults, one story each."""
+"""Tests of calls to models under faults, with real processes."""
 
 import concurrent.futures
 import hashlib
@@ -22,7 +22,7 @@
 }
 
 
-def texts(body):
+def generated_words(body):
     """Returns the generated words of a streamed answer, in order."""
     words = []
     for event in body.decode().split("\n\n"):
@@ -33,11 +33,11 @@
     return words
 
 
-def numbers(body):
-    return [int(word.split("-")[1]) for word in texts(body)]
+def token_numbers(body):
+    return [int(word.split("-")[1]) for word in generated_words(body)]
 
 
-def holders(deployment, model=MODEL):
+def engines_with_model(deployment, model=MODEL):
     return [
         name
         for name, url in deployment.engine_urls.items()
@@ -46,86 +46,86 @@
 
 
 @pytest.fixture(scope="module")
-def pair(tmp_path_factory):
-    """A deployment in which one model has two replicas."""
-    one = conftest.start_deployment(
+def two_replicas(tmp_path_factory):
+    """A deployment in which `MODEL` has two replicas."""
+    deployment = conftest.start_deployment(
         conftest.small_spec(extra=TWO_REPLICAS), tmp_path_factory.mktemp("pair")
     )
-    until = time.monotonic() + 20
-    while len(holders(one)) < 2:
-        assert time.monotonic() < until
+    deadline = time.monotonic() + 20
+    while len(engines_with_model(deployment)) < 2:
+        assert time.monotonic() < deadline
         time.sleep(0.1)
-    # The entries hear of the replica with the next reports.
+    # The entries learn of the replica from the next reports.
     time.sleep(1.5)
-    yield one
-    one.stop()
+    yield deployment
+    deployment.stop()
 
 
-def faults(deployment, name, **values):
+def set_faults(deployment, name, **values):
     url = deployment.engine_urls[name]
     processes.post_json(f"{url}/fake/faults", values)
 
 
 @pytest.mark.parametrize("resume", [True, False])
-def test_an_engine_that_dies_mid_stream_does_not_show(pair, resume):
-    # R7: each engine drops a connection after five tokens, once. The call
-    # goes on at the other replica, which resumes behind the last token or,
-    # where it can't, gets the prompt with the text so far. The caller sees
-    # each token once and in order.
-    names = holders(pair)
+def test_a_stream_continues_when_its_engine_fails(two_replicas, resume):
+    # R7: each engine drops one connection after five tokens. The other replica
+    # continues the call: it resumes after the last token or, if it can't, gets
+    # the prompt with the text so far. The caller gets each token once and in
+    # order.
+    names = engines_with_model(two_replicas)
     for name in names:
-        faults(pair, name, resume=resume)
-        faults(pair, name, die_after=5)
+        set_faults(two_replicas, name, resume=resume)
+        set_faults(two_replicas, name, die_after=5)
     try:
         status, body, _ = demo.Caller().chat(
-            pair.instances[0].entry_url, MODEL, "die", 60
+            two_replicas.instances[0].entry_url, MODEL, "die", 60
         )
     finally:
         for name in names:
-            faults(pair, name, die_after=0, resume=True)
-    found = numbers(body)
+            set_faults(two_replicas, name, die_after=0, resume=True)
+    token_list = token_numbers(body)
     assert status == 200
     if resume:
-        assert found == list(range(1, 61))
+        assert token_list == list(range(1, 61))
     else:
-        assert len(found) == 60
+        assert len(token_list) == 60
     assert body.endswith(b"data: [DONE]\n\n")
 
 
 def test_an_engine_killed_before_the_first_byte(new_deployment):
-    # R6: the engine is gone when the call arrives; nothing ran, so another
-    # replica answers and nobody notices.
-    one = new_deployment(extra=TWO_REPLICAS)
-    until = time.monotonic() + 20
-    while len(holders(one)) < 2:
-        assert time.monotonic() < until
+    # R6: the engine is dead when the call arrives. Nothing was executed, so
+    # another replica answers, and callers see no error.
+    deployment = new_deployment(extra=TWO_REPLICAS)
+    deadline = time.monotonic() + 20
+    while len(engines_with_model(deployment)) < 2:
+        assert time.monotonic() < deadline
         time.sleep(0.1)
     time.sleep(1.5)
-    one.processes[f"engine-{holders(one)[0]}"].kill()
+    deployment.processes[f"engine-{engines_with_model(deployment)[0]}"].kill()
     for number in range(10):
         status, body, _ = demo.Caller().chat(
-            one.instances[0].entry_url, MODEL, f"k{number}", 5
+            deployment.instances[0].entry_url, MODEL, f"k{number}", 5
         )
-        assert (status, numbers(body)) == (200, [1, 2, 3, 4, 5])
+        assert (status, token_numbers(body)) == (200, [1, 2, 3, 4, 5])
 
 
-def test_answers_are_never_crossed_under_load(pair):
-    # R8: many callers at once; each answer must name its own prompt.
+def test_answers_are_never_mixed_up_under_load(two_replicas):
+    # R8: with many concurrent callers, each answer must name its own prompt.
     caller = demo.Caller()
     prompts = [f"prompt {n}" for n in range(60)]
 
-    def ask(prompt):
-        place = hash(prompt) % len(pair.instances)
-        url = pair.instances[place].entry_url
+    def send_prompt(prompt):
+        index = hash(prompt) % len(two_replicas.instances)
+        url = two_replicas.instances[index].entry_url
         return caller.chat(url, MODEL, prompt, 10)
 
     with concurrent.futures.ThreadPoolExecutor(20) as pool:
-        answers = list(pool.map(ask, prompts))
+        answers = list(pool.map(send_prompt, prompts))
     for prompt, (status, body, _) in zip(prompts, answers, strict=True):
         if status != 200:
             assert json.loads(body)["executed"] == "no"
             continue
-        assert {word.split("-")[0] for word in texts(body)} == {
+        assert {word.split("-")[0] for word in generated_words(body)} == {
             _digest(f"user: {prompt}")
         }
 
@@ -134,35 +134,35 @@
     return hashlib.sha256(prompt.encode()).hexdigest()[:8]
 
 
-def test_a_leaving_engine_gets_no_new_work(pair):
-    # L1: an engine begins to leave. Its own refusal counts at once, long
-    # before any list says so; calls go to the other replica.
-    name = holders(pair)[0]
-    faults(pair, name, leaving=True)
+def test_a_leaving_engine_gets_no_new_work(two_replicas):
+    # L1: an engine starts to leave. Its own refusal takes effect at once, long
+    # before any list shows it, and calls go to the other replica.
+    name = engines_with_model(two_replicas)[0]
+    set_faults(two_replicas, name, leaving=True)
     try:
         for number in range(10):
             status, body, _ = demo.Caller().chat(
-                pair.instances[0].entry_url, MODEL, f"l{number}", 3
+                two_replicas.instances[0].entry_url, MODEL, f"l{number}", 3
             )
-            assert (status, numbers(body)) == (200, [1, 2, 3])
-        url = pair.engine_urls[name]
+            assert (status, token_numbers(body)) == (200, [1, 2, 3])
+        url = two_replicas.engine_urls[name]
         before = len(processes.get_json(f"{url}/fake/stats")["calls"])
-        demo.Caller().chat(pair.instances[0].entry_url, MODEL, "x", 3)
+        demo.Caller().chat(two_replicas.instances[0].entry_url, MODEL, "x", 3)
         after = len(processes.get_json(f"{url}/fake/stats")["calls"])
         assert after == before
     finally:
-        faults(pair, name, leaving=False)
+        set_faults(two_replicas, name, leaving=False)
 
 
-def test_a_drained_engine_gets_no_new_work_and_finishes_the_old(pair):
-    # An operator drains an engine while it answers a call.
-    name = holders(pair)[0]
-    operator = demo.OperatorCli(pair)
+def test_a_drained_engine_gets_no_new_work_and_finishes_the_old(two_replicas):
+    # An operator drains an engine while it answers calls.
+    name = engines_with_model(two_replicas)[0]
+    operator = demo.OperatorCli(two_replicas)
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
         old = [
             pool.submit(
                 demo.Caller().chat,
-                pair.instances[0].entry_url,
+                two_replicas.instances[0].entry_url,
                 MODEL,
                 f"old{n}",
                 100,
@@ -172,24 +172,24 @@
         time.sleep(0.3)
         assert operator.run("drain", name)[0] == 0
         time.sleep(2.0)
-        url = pair.engine_urls[name]
+        url = two_replicas.engine_urls[name]
         before = len(processes.get_json(f"{url}/fake/stats")["calls"])
         for number in range(6):
             demo.Caller().chat(
-                pair.instances[1].entry_url, MODEL, f"n{number}", 2
+                two_replicas.instances[1].entry_url, MODEL, f"n{number}", 2
             )
         after = len(processes.get_json(f"{url}/fake/stats")["calls"])
-        done = [numbers(one.result()[1]) for one in old]
+        done = [token_numbers(call.result()[1]) for call in old]
     assert operator.run("drain", name, "--end")[0] == 0
     assert after == before
     assert done == [list(range(1, 101))] * 8
     time.sleep(1.0)
 
 
-def test_a_caller_who_leaves_frees_the_engine(pair):
-    # R9: a skier closes the page in the middle of a long report. The engine
-    # is told and stops working on it.
-    url = pair.instances[0].entry_url
+def test_a_disconnected_caller_frees_the_engine(two_replicas):
+    # R9: a caller disconnects during a long answer. The engine is told to
+    # cancel the call and stops working on it.
+    url = two_replicas.instances[0].entry_url
     response = urllib3.PoolManager().request(
         "POST",
         f"{url}/v1/chat/completions",
@@ -204,22 +204,22 @@
     )
     response.read1(200)
     response.close()
-    until = time.monotonic() + 10
+    deadline = time.monotonic() + 10
     while True:
         cancelled = sum(
             processes.get_json(f"{engine}/fake/stats")["cancelled"]
-            for engine in pair.engine_urls.values()
+            for engine in two_replicas.engine_urls.values()
         )
         if cancelled:
             break
-        assert time.monotonic() < until
+        assert time.monotonic() < deadline
         time.sleep(0.1)
 
 
-def test_a_slow_caller_harms_nobody(pair):
-    # R10: a caller reads nothing of a long answer. Others are served as
-    # before, and the entry's memory does not grow with it.
-    host, port = pair.instances[0].entry_address.split(":")
+def test_a_slow_caller_does_not_affect_others(two_replicas):
+    # R10: a caller reads nothing of a long answer. Other callers are served as
+    # before. That the entry's memory must not grow is not checked here.
+    host, port = two_replicas.instances[0].entry_address.split(":")
     body = json.dumps(
         {
             "model": MODEL,
@@ -242,20 +242,20 @@
     try:
         for number in range(5):
             status, answer, _ = demo.Caller().chat(
-                pair.instances[0].entry_url, MODEL, f"quick{number}", 5
+                two_replicas.instances[0].entry_url, MODEL, f"quick{number}", 5
             )
-            assert (status, numbers(answer)) == (200, [1, 2, 3, 4, 5])
+            assert (status, token_numbers(answer)) == (200, [1, 2, 3, 4, 5])
     finally:
         for raw in slow:
             raw.close()
 
 
-def test_a_planned_stop_of_an_entry_cuts_off_nothing(new_deployment):
-    # L2: an entry is stopped while it streams. Readiness fails first; the
-    # open answer comes to its end; the exit code is 0.
-    one = new_deployment()
-    instance = one.instances[0]
-    entry = one.processes[f"entry-{instance.name}"]
+def test_a_planned_stop_of_an_entry_completes_its_calls(new_deployment):
+    # L2: an entry is stopped while it streams. Readiness fails first, the open
+    # answer is completed, and the exit code is 0.
+    deployment = new_deployment()
+    instance = deployment.instances[0]
+    entry = deployment.processes[f"entry-{instance.name}"]
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         call = pool.submit(
             demo.Caller().chat, instance.entry_url, MODEL, "stop", 200
@@ -266,15 +266,15 @@
         ready = urllib3.request("GET", f"{instance.entry_url}/readyz")
         status, body, _ = call.result()
     assert ready.status == 503
-    assert (status, numbers(body)) == (200, list(range(1, 201)))
+    assert (status, token_numbers(body)) == (200, list(range(1, 201)))
     assert entry.wait() == 0
 
 
 def test_a_second_interrupt_ends_an_entry_at_once(new_deployment):
-    # L3: somebody at a terminal wants the process gone now.
-    one = new_deployment()
-    instance = one.instances[0]
-    entry = one.processes[f"entry-{instance.name}"]
+    # L3: a second interrupt at a terminal ends the process immediately.
+    deployment = new_deployment()
+    instance = deployment.instances[0]
+    entry = deployment.processes[f"entry-{instance.name}"]
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         call = pool.submit(
             demo.Caller().chat, instance.entry_url, MODEL, "stop", 3000
@@ -288,14 +288,14 @@
             call.result()
 
 
-def test_an_entry_that_is_asked_to_stop_twice_finishes_its_calls(
+def test_a_second_sigterm_does_not_cut_off_calls(
     new_deployment,
 ):
-    # The platform and an operator asked for the same stop; the second SIGTERM
-    # ended the entry with code 3 and cut its callers' answers off.
-    one = new_deployment()
-    instance = one.instances[0]
-    entry = one.processes[f"entry-{instance.name}"]
+    # The platform and an operator both request the stop. The second SIGTERM
+    # used to end the entry with code 3 and cut off its callers' answers.
+    deployment = new_deployment()
+    instance = deployment.instances[0]
+    entry = deployment.processes[f"entry-{instance.name}"]
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         call = pool.submit(
             demo.Caller().chat, instance.entry_url, MODEL, "twice", 200
@@ -305,19 +305,19 @@
         time.sleep(0.2)
         entry.popen.send_signal(signal.SIGTERM)
         status, body, _ = call.result()
-    assert (status, numbers(body)) == (200, list(range(1, 201)))
+    assert (status, token_numbers(body)) == (200, list(range(1, 201)))
     assert entry.wait() == 0
 
 
 def test_an_entry_serves_on_its_last_view_without_its_steward(new_deployment):
-    # The steward is killed. Calls to models go on; a call that needs a
-    # claim is refused, and nothing false is said of it.
-    one = new_deployment()
-    instance = one.instances[0]
-    one.processes[f"steward-{instance.name}"].kill()
+    # The steward is killed. Calls to models still succeed. A call that needs a
+    # claim is refused, with `executed` "unknown", and does not run.
+    deployment = new_deployment()
+    instance = deployment.instances[0]
+    deployment.processes[f"steward-{instance.name}"].kill()
     time.sleep(0.5)
     status, body, _ = demo.Caller().chat(instance.entry_url, MODEL, "v", 4)
-    assert (status, numbers(body)) == (200, [1, 2, 3, 4])
+    assert (status, token_numbers(body)) == (200, [1, 2, 3, 4])
     status, body = demo.Caller().order(instance.entry_url, "nobody")
     assert (status, json.loads(body)["executed"]) == (503, "unknown")
-    assert demo.count_order_runs(one, "nobody") == 0
+    assert demo.count_order_runs(deployment, "nobody") == 0
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Deployments of real processes for the integration tests."""
+"""Fixtures that start deployments of real processes."""
 
 import pathlib
 
@@ -9,30 +9,32 @@
 
 EXAMPLES = pathlib.Path(__file__).parents[1] / "examples"
 
-# The tests wait for residency, not for a slow store: limits that the store's
-# fake and the declarations share.
+# A fast store, so that models soon become resident. The fake store and the
+# declarations must have the same limits.
 FAST_STORE_FLAGS = ("--loads-per-second", "100", "--load-s", "0.02")
 FAST_STORE_LIMITS = {"store": {"loads_per_second": 100, "full_speed_loads": 20}}
 
 
-def start_deployment(small_spec, work_dir):
-    """Starts a deployment on the published configuration."""
-    one = deployment_lib.Deployment(small_spec, work_dir)
+def start_deployment(spec, work_dir):
+    """Starts a deployment and publishes its configuration."""
+    deployment = deployment_lib.Deployment(spec, work_dir)
     try:
-        one.start_fakes()
-        one.start_instances()
-        code, text = demo.OperatorCli(one).run("publish", str(one.config_dir))
+        deployment.start_fakes()
+        deployment.start_instances()
+        code, text = demo.OperatorCli(deployment).run(
+            "publish", str(deployment.config_dir)
+        )
         assert code == 0, text
-        one.wait_ready()
-        one.wait_resident(set(one.declared.models))
+        deployment.wait_ready()
+        deployment.wait_resident(set(deployment.declared.models))
     except BaseException:
-        one.stop()
+        deployment.stop()
         raise
-    return one
+    return deployment
 
 
 def small_spec(**changes):
-    """Returns the small shape that most tests use."""
+    """Returns the spec that most tests use: one entry in each zone."""
     settings = {
         "example": EXAMPLES / "namib",
         "entries_per_zone": 1,
@@ -44,25 +46,27 @@
 
 @pytest.fixture(scope="session")
 def shared_deployment(tmp_path_factory):
-    """A deployment that tests must leave as they found it."""
-    one = start_deployment(small_spec(), tmp_path_factory.mktemp("shared"))
-    yield one
-    codes = one.stop()
+    """A deployment for all tests, which must leave it unchanged."""
+    deployment = start_deployment(
+        small_spec(), tmp_path_factory.mktemp("shared")
+    )
+    yield deployment
+    codes = deployment.stop()
     assert set(codes.values()) == {0}
 
 
 @pytest.fixture
 def new_deployment(tmp_path):
-    """Returns a function that starts a deployment of a test's own."""
+    """Returns a function that starts a deployment for one test."""
     started = []
 
-    def begin(**changes):
-        one = start_deployment(
+    def start_one(**changes):
+        deployment = start_deployment(
             small_spec(**changes), tmp_path / f"d{len(started)}"
         )
-        started.append(one)
-        return one
+        started.append(deployment)
+        return deployment
 
-    yield begin
-    for one in started:
-        one.stop()
+    yield start_one
+    for deployment in started:
+        deployment.stop()
--- a/tests/tools_test.py
+++ b/tests/tools_test.py
@@ -1,4 +1,4 @@
-"""Tests of the tools that start deployments: nothing is left behind."""
+"""Tests that stopped tools leave no processes of their deployments."""
 
 import os
 import pathlib
@@ -10,33 +10,33 @@
 import pytest
 
 EXAMPLES = pathlib.Path(__file__).parents[1] / "examples"
-STARTED = 3
-GUARD_S = 60.0
+MIN_STARTED = 3
+TIMEOUT_S = 60.0
 
 
-def below(folder):
-    """Returns the ids of the processes that work in a folder."""
+def processes_in(folder):
+    """Returns the ids of the processes whose working directory is `folder`."""
     found = []
     for path in pathlib.Path("/proc").glob("[0-9]*"):
         try:
             if os.readlink(path / "cwd") == str(folder):
                 found.append(int(path.name))
         except OSError:
-            # It ended meanwhile, or is another user's.
+            # The process has ended, or belongs to another user.
             continue
     return found
 
 
-def wait_until(holds):
-    """Waits for what must come; the guard only keeps a test from hanging."""
-    until = time.monotonic() + GUARD_S
-    while not holds():
-        assert time.monotonic() < until
+def wait_until(condition):
+    """Waits for a condition; the timeout only keeps the test from hanging."""
+    deadline = time.monotonic() + TIMEOUT_S
+    while not condition():
+        assert time.monotonic() < deadline
         time.sleep(0.01)
 
 
 @pytest.mark.parametrize(
-    ("tool", "names"),
+    ("tool", "signal_names"),
     [
         ("demo up", "HUP"),
         ("demo up", "TERM TERM"),
@@ -47,13 +47,13 @@
         ("relay_bench", "HUP TERM"),
     ],
 )
-def test_a_tool_that_is_stopped_leaves_no_process(tmp_path, tool, names):
-    """A closed terminal left 24 processes of `make up` running for ever.
+def test_a_tool_that_is_stopped_leaves_no_process(tmp_path, tool, signal_names):
+    """Closing the terminal left 24 processes of `make up` running.
 
-    The tools' children are sessions of their own, so only the tool can stop
-    them. A signal that the tool did not handle ended it before that, and so
-    did a second one in the middle of the stop. `devtools/runner.py` makes one
-    exception of them, held back while a process is started or stopped.
+    The processes have their own sessions, so only the tool can stop them. A
+    signal that the tool did not handle ended it before that, and so did a
+    second one during the stop. `devtools/runner.py` turns the first signal into
+    an exception, deferred while a process is started or stopped.
     """
     work = tmp_path.resolve()
     (work / "examples").symlink_to(EXAMPLES)
@@ -65,17 +65,17 @@
         stdout=subprocess.DEVNULL,
         stderr=subprocess.DEVNULL,
         start_new_session=True,
-        # Where the test run itself ignores it, the tool would do so as well.
+        # If the test run ignores SIGHUP, the tool would inherit that.
         preexec_fn=lambda: signal.signal(signal.SIGHUP, signal.SIG_DFL),
     )
     try:
-        wait_until(lambda: len(below(work)) > STARTED)
-        for name in names.split():
+        wait_until(lambda: len(processes_in(work)) > MIN_STARTED)
+        for name in signal_names.split():
             runner.send_signal(signal.Signals[f"SIG{name}"])
             time.sleep(0.05)
-        runner.wait(GUARD_S)
-        assert below(work) == []
+        runner.wait(TIMEOUT_S)
+        assert processes_in(work) == []
     finally:
-        for pid in below(work):
+        for pid in processes_in(work):
             os.kill(pid, signal.SIGKILL)
-        runner.wait(GUARD_S)
+        runner.wait(TIMEOUT_S)
