--- a/tests/planned_events_test.py
+++ b/tests/planned_events_test.py
@@ -1,13 +1,13 @@
-"""A gateway under planned events, as callers and upstreams see it.
+"""Tests of a gateway under planned events, as callers and upstreams see them.
 
-Operators changed the settings files and sent each gateway a SIGHUP, one after
-the other, while streams were under way. Each process ended within a
-millisecond, with code 129 and without a line; its callers lost their answers
-in the middle, and its upstreams saw the requests cut. The process had no
-handler for the signal, whose default action ends it.
+Operators changed the settings files and sent each gateway in turn a SIGHUP
+while answers were streamed. Each process ended within a millisecond, with code
+129 and without a log line: it had no handler for the signal, whose default
+action ends a process. Callers lost their answers in the middle, and upstreams
+saw their requests cut off.
 
-So here the real program runs, and each planned event happens while requests
-are in the middle: it must neither end the process nor cut off a request.
+So each planned event happens to the real program while requests are in
+progress. It must neither end the process nor cut off a request.
 """
 
 from collections.abc import Callable
@@ -24,39 +24,39 @@
 from sesamecross.fakes import platform_site
 from sesamecross.fakes import platform_upstream
 
-MORE_ROUTES = 250
+ADDED_ROUTES = 250
 REFUSED = 503
-# What a slow caller's machine takes unread.
-SMALL_BUFFER_BYTES = 4096
-# For how long requests are held while a process stops: longer than the 2.6 s
-# that a stop lasts where nothing is under way. One that ends sooner is not
-# waited for, so how long this is decides no verdict of a sound process.
-HELD_S = 3.5
+# Socket receive buffer of a slow caller.
+RECEIVE_BUFFER_BYTES = 4096
+# How long requests are kept open while a process stops: longer than the 2.6 s
+# that an idle process takes to stop. The wait ends when the process does, so
+# that this value does not change the result of a correct process.
+HOLD_S = 3.5
 
 
 # -- events ---------------------------------------------------------------
 
 
-def hang_up(site: platform_site.PlatformSite) -> None:
-    """SIGHUP; the file is as it was."""
+def reload(site: platform_site.PlatformSite) -> None:
+    """Sends SIGHUP; the settings file is unchanged."""
 
-    def act() -> None:
+    def action() -> None:
         site.gateway.wait_new_log_line(
             "application: reload requested",
             lambda: site.gateway.signal(signal.SIGHUP),
         )
 
-    site.gateway.wait_new_log_line("settings: reloaded", act)
+    site.gateway.wait_new_log_line("settings: reloaded", action)
 
 
-def hang_up_ten_times(site: platform_site.PlatformSite) -> None:
-    """Ten SIGHUPs, one after the other."""
+def reload_ten_times(site: platform_site.PlatformSite) -> None:
+    """Sends ten SIGHUPs in sequence."""
     for _ in range(10):
-        hang_up(site)
+        reload(site)
 
 
-def half_written_settings(site: platform_site.PlatformSite) -> None:
-    """SIGHUP in the middle of writing the file, and one when it is whole."""
+def reload_half_written_settings(site: platform_site.PlatformSite) -> None:
+    """Sends SIGHUP while the file is half written, and when it is complete."""
     gateway = site.gateway
     text = gateway.settings_text(drain_ms=2600)
     gateway.write_settings(text[: len(text) // 2])
@@ -64,15 +64,15 @@
         "settings: not taken", lambda: gateway.signal(signal.SIGHUP)
     )
 
-    def act() -> None:
+    def action() -> None:
         gateway.write_settings(text)
         gateway.signal(signal.SIGHUP)
 
-    gateway.wait_new_log_line("settings: reloaded", act, in_force=["bounds"])
+    gateway.wait_new_log_line("settings: reloaded", action, in_force=["bounds"])
 
 
-def replaced_settings(site: platform_site.PlatformSite) -> None:
-    """A new file without a signal; the new address waits for a start."""
+def replace_settings_file(site: platform_site.PlatformSite) -> None:
+    """Replaces the file without a signal; the address needs a restart."""
     gateway = site.gateway
     text = gateway.settings_text(drain_ms=2700, front_port=8150)
     gateway.wait_new_log_line(
@@ -83,65 +83,67 @@
     )
 
 
-def new_versions(
+def publish_versions(
     *changes: dict[str, Any],
 ) -> Callable[[platform_site.PlatformSite], None]:
-    """Returns the event of versions one right behind the other."""
+    """Returns a trigger that publishes versions in quick succession."""
 
-    def happens(site: platform_site.PlatformSite) -> None:
-        for one in changes:
-            site.publish(**one)
+    def trigger(site: platform_site.PlatformSite) -> None:
+        for change in changes:
+            site.publish(**change)
         site.gateway.wait_log_line(
             "configuration: in force", version=site.version
         )
 
-    return happens
+    return trigger
 
 
 TIMEOUTS = {"timeout_share": 0.9}
 NO_ROUTE = {"without": (*platform_site.HELD_SERVICES, platform_site.ARCHIVE)}
-ROUTES = {"more_routes": MORE_ROUTES}
+ROUTES = {"more_routes": ADDED_ROUTES}
 IDLE = {"idle_ms": 100_000}
 
 
-def _replaced_upstreams(
+def _replace_upstreams(
     site: platform_site.PlatformSite,
 ) -> list[platform_upstream.PlatformUpstream]:
-    """Adds others for those at which requests are, and returns the latter."""
-    replaced = [site.add_upstream(one) for one in platform_site.HELD_SERVICES]
+    """Adds an upstream for each that has requests; returns the latter."""
+    replaced = [
+        site.add_upstream(service) for service in platform_site.HELD_SERVICES
+    ]
     site.wait_until_known()
     return replaced
 
 
-def upstreams_leave(site: platform_site.PlatformSite) -> None:
-    """The upstreams at which requests are say that they leave."""
-    leaving = _replaced_upstreams(site)
-    for one in leaving:
-        one.register("draining")
-    for one in leaving:
+def drain_upstreams(site: platform_site.PlatformSite) -> None:
+    """The upstreams that have requests in progress begin to drain."""
+    leaving = _replace_upstreams(site)
+    for upstream in leaving:
+        upstream.register("draining")
+    for upstream in leaving:
         site.gateway.wait_log_line(
-            "upstreams: seen", id=one.instance_id, leaving=True
+            "upstreams: seen", id=upstream.instance_id, leaving=True
         )
 
 
-def upstreams_removed(site: platform_site.PlatformSite) -> None:
-    """The entries of the upstreams at which requests are vanish."""
-    removed = _replaced_upstreams(site)
-    for one in removed:
-        one.unregister()
-    for one in removed:
-        site.gateway.wait_log_line("upstreams: lapsed", id=one.instance_id)
+def remove_upstreams(site: platform_site.PlatformSite) -> None:
+    """The upstreams that have requests in progress are unregistered."""
+    removed = _replace_upstreams(site)
+    for upstream in removed:
+        upstream.unregister()
+    for upstream in removed:
+        site.gateway.wait_log_line("upstreams: lapsed", id=upstream.instance_id)
 
 
 def stop(site: platform_site.PlatformSite) -> None:
-    """SIGTERM."""
+    """Sends SIGTERM."""
     site.gateway.wait_new_log_line(
         "gateway: draining", lambda: site.gateway.signal(signal.SIGTERM)
     )
 
 
-def stop_and_hang_up(site: platform_site.PlatformSite) -> None:
-    """SIGTERM, and SIGHUP while the process stops."""
+def stop_then_reload(site: platform_site.PlatformSite) -> None:
+    """Sends SIGTERM, and SIGHUP while the process stops."""
     stop(site)
     site.gateway.wait_new_log_line(
         "application: reload requested",
@@ -149,20 +151,20 @@
     )
 
 
-def hang_up_and_stop(site: platform_site.PlatformSite) -> None:
-    """SIGHUP, and SIGTERM right behind it."""
+def reload_then_stop(site: platform_site.PlatformSite) -> None:
+    """Sends SIGHUP, and SIGTERM immediately after it."""
 
-    def act() -> None:
+    def action() -> None:
         site.gateway.signal(signal.SIGHUP)
         stop(site)
 
-    site.gateway.wait_new_log_line("application: reload requested", act)
+    site.gateway.wait_new_log_line("application: reload requested", action)
 
 
 def stop_twice(site: platform_site.PlatformSite) -> None:
-    """SIGTERM, and once more while the process stops."""
+    """Sends SIGTERM, and again while the process stops."""
     stop(site)
-    # Whatever it says of the second one: each signal leaves a line.
+    # Any line will do: each signal must be logged.
     site.gateway.wait_new_log_line(
         "application: ", lambda: site.gateway.signal(signal.SIGTERM)
     )
@@ -170,44 +172,45 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """Something planned.
+    """A planned event.
 
     Attributes:
-      happens: Makes it happen; returns when the gateway has taken notice.
-      ends: Whether the process ends by it, with code 0.
+      trigger: Causes the event; returns when the gateway has logged it.
+      ends: Whether the event ends the process, with code 0.
     """
 
     name: str
-    happens: Callable[[platform_site.PlatformSite], None]
+    trigger: Callable[[platform_site.PlatformSite], None]
     ends: bool = False
 
 
 EVENTS = (
-    Event("sighup", hang_up),
-    Event("ten sighups", hang_up_ten_times),
-    Event("sighup with half a file", half_written_settings),
-    Event("file replaced", replaced_settings),
-    Event("timeouts changed", new_versions(TIMEOUTS)),
-    Event("route removed", new_versions(NO_ROUTE)),
-    Event("250 routes more", new_versions(ROUTES)),
-    Event("idle limit changed", new_versions(IDLE)),
+    Event("sighup", reload),
+    Event("ten sighups", reload_ten_times),
+    Event("sighup with half a file", reload_half_written_settings),
+    Event("file replaced", replace_settings_file),
+    Event("timeouts changed", publish_versions(TIMEOUTS)),
+    Event("route removed", publish_versions(NO_ROUTE)),
+    Event("250 routes more", publish_versions(ROUTES)),
+    Event("idle limit changed", publish_versions(IDLE)),
     Event(
-        "versions in succession", new_versions(TIMEOUTS, NO_ROUTE, ROUTES, IDLE)
+        "versions in succession",
+        publish_versions(TIMEOUTS, NO_ROUTE, ROUTES, IDLE),
     ),
-    Event("upstreams leave", upstreams_leave),
-    Event("upstreams removed", upstreams_removed),
+    Event("upstreams leave", drain_upstreams),
+    Event("upstreams removed", remove_upstreams),
     Event("sigterm", stop, ends=True),
-    Event("sigterm then sighup", stop_and_hang_up, ends=True),
-    Event("sighup then sigterm", hang_up_and_stop, ends=True),
+    Event("sigterm then sighup", stop_then_reload, ends=True),
+    Event("sighup then sigterm", reload_then_stop, ends=True),
     Event("sigterm twice", stop_twice, ends=True),
 )
 
-# -- what is under way ------------------------------------------------------
+# -- requests in progress ---------------------------------------------------
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seen:
-    """What became of one request, on both sides."""
+class RequestOutcome:
+    """The outcome of a request, as its caller and its upstream saw it."""
 
     sent: bytes
     answer: platform_caller.Answer
@@ -215,37 +218,37 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Played:
-    """An event, and what came of it.
+class EventOutcome:
+    """The outcome of an event.
 
     Attributes:
-      not_noticed: What the gateway did not take notice of; empty where it
-        did of all.
-      exit_code: None where the process still runs.
-      seen: By what was under way.
+      not_observed: Why the wait for the gateway's log lines failed; empty if
+        all of them came.
+      exit_code: None if the process still runs.
+      outcomes: By kind of request.
     """
 
     event: Event
-    not_noticed: str
+    not_observed: str
     exit_code: int | None
-    seen: dict[str, Seen]
+    outcomes: dict[str, RequestOutcome]
 
 
-def answered_unread(site: platform_site.PlatformSite) -> platform_caller.Call:
-    """Returns a call whose large answer waits in the gateway, unread."""
-    call = site.call(platform_site.ARCHIVE, receive_buffer=SMALL_BUFFER_BYTES)
+def send_unread_call(site: platform_site.PlatformSite) -> platform_caller.Call:
+    """Returns a call whose large answer is buffered in the gateway, unread."""
+    call = site.call(platform_site.ARCHIVE, receive_buffer=RECEIVE_BUFFER_BYTES)
     call.send()
     site.gateway.wait_log_line("request: status 200", id=call.request_id)
     return call
 
 
-class UnderWay:
-    """Requests at chosen points of their way."""
+class OpenRequests:
+    """Requests that are in progress, each at a different point."""
 
     def __init__(self, site: platform_site.PlatformSite):
         self._site = site
         self._stream = site.call(platform_site.WRITERS)
-        processes.wait_for(self._begin_stream, "a stream is under way")
+        processes.wait_for(self._begin_stream, "a stream is in progress")
         self._unanswered = site.call(platform_site.LEDGER)
         self._unanswered.send()
         processes.wait_for(
@@ -253,19 +256,19 @@
             "the plain call runs",
             pause_s=0.01,
         )
-        self._unread = answered_unread(site)
+        self._unread = send_unread_call(site)
         self._half_sent = site.call(platform_site.DESK)
         self._half_sent.send_half()
         before = site.call(platform_site.DESK)
         before.send()
         assert before.finish().status == 200
-        self._kept = before.connection
+        self._idle_connection = before.connection
 
     def _begin_stream(self) -> bool:
-        """Returns whether a stream is in its middle.
+        """Returns whether a stream has begun and is not complete.
 
-        An engine that has just come may count as empty for a moment. Its
-        callers are told to come back then, and do.
+        A new engine may count as empty for a moment. Calls are then refused
+        with the advice to retry, which this does.
         """
         self._stream.send(for_model=True)
         if self._stream.read_first_events():
@@ -275,46 +278,48 @@
         self._stream = self._site.call(platform_site.WRITERS)
         return False
 
-    def finish(self, ends: bool) -> dict[str, Seen]:
-        """Goes on with all requests, to their ends.
+    def finish(self, ends: bool) -> dict[str, RequestOutcome]:
+        """Completes all requests.
 
         Args:
-          ends: Whether the process ends by the event. It may close idle
-            connections then, and has to stay for requests under way.
+          ends: Whether the event ends the process. It may then close idle
+            connections, but has to wait for requests in progress.
         """
         self._half_sent.send_rest()
-        seen = {
-            "half-sent body": self._seen(self._half_sent),
-            "kept connection": self._ask_on_kept(may_close=ends),
-            "unread answer": self._seen(self._unread),
+        outcomes = {
+            "half-sent body": self._finish_call(self._half_sent),
+            "kept connection": self._call_on_idle_connection(may_close=ends),
+            "unread answer": self._finish_call(self._unread),
         }
         if ends:
-            hold(self._site)
-        for one in self._site.all_upstreams():
-            one.release_answers()
-        seen["unanswered call"] = self._seen(self._unanswered)
-        seen["stream"] = self._seen(self._stream)
-        return seen
-
-    def _ask_on_kept(self, may_close: bool) -> Seen:
-        call = self._site.call(platform_site.DESK, reused=self._kept)
+            wait_for_early_end(self._site)
+        for upstream in self._site.all_upstreams():
+            upstream.release_answers()
+        outcomes["unanswered call"] = self._finish_call(self._unanswered)
+        outcomes["stream"] = self._finish_call(self._stream)
+        return outcomes
+
+    def _call_on_idle_connection(self, may_close: bool) -> RequestOutcome:
+        call = self._site.call(platform_site.DESK, reused=self._idle_connection)
         call.send()
-        seen = self._seen(call)
-        if may_close and not seen.answer.status and not seen.runs:
-            # The request crossed the close, and nobody passed it on: its
-            # caller asks again, on a new connection.
+        outcome = self._finish_call(call)
+        if may_close and not outcome.answer.status and not outcome.runs:
+            # The request crossed the close of the connection and was not
+            # forwarded. The caller retries on a new connection.
             call = self._site.call(platform_site.DESK)
             call.send()
-            seen = self._seen(call)
-        return seen
+            outcome = self._finish_call(call)
+        return outcome
 
-    def _seen(self, call: platform_caller.Call) -> Seen:
+    def _finish_call(self, call: platform_caller.Call) -> RequestOutcome:
         answer = call.finish()
         call.close()
-        return Seen(call.body, answer, self._site.runs_of(call.request_id))
+        return RequestOutcome(
+            call.body, answer, self._site.runs_of(call.request_id)
+        )
 
 
-UNDER_WAY = (
+REQUEST_KINDS = (
     "stream",
     "unanswered call",
     "unread answer",
@@ -323,36 +328,36 @@
 )
 
 
-def hold(site: platform_site.PlatformSite) -> None:
-    """Lets the time pass in which a stop ends, if nothing keeps it."""
+def wait_for_early_end(site: platform_site.PlatformSite) -> None:
+    """Waits as long as a stop would take if no request were in progress."""
     with contextlib.suppress(processes.NotReadyError):
         processes.wait_for(
-            lambda: not site.gateway.is_running, "the process ends", HELD_S
+            lambda: not site.gateway.is_running, "the process ends", HOLD_S
         )
 
 
-def play(site: platform_site.PlatformSite, event: Event) -> Played:
-    """Lets an event happen while requests are under way."""
+def run_event(site: platform_site.PlatformSite, event: Event) -> EventOutcome:
+    """Triggers an event while requests are in progress."""
     site.prepare()
-    under_way = UnderWay(site)
-    not_noticed = ""
+    open_requests = OpenRequests(site)
+    not_observed = ""
     try:
-        event.happens(site)
+        event.trigger(site)
     except (platform_instance.ProcessEnded, processes.NotReadyError) as error:
-        not_noticed = str(error)
-    seen = under_way.finish(event.ends)
+        not_observed = str(error)
+    outcomes = open_requests.finish(event.ends)
     exit_code = None
     if event.ends or not site.gateway.is_running:
         exit_code = site.gateway.exit_code()
-    return Played(event, not_noticed, exit_code, seen)
+    return EventOutcome(event, not_observed, exit_code, outcomes)
 
 
 # -- tests ------------------------------------------------------------------
 
 
 @pytest.fixture(scope="module")
-def lasting_site(tmp_path_factory):
-    """For the events that end nothing."""
+def shared_site(tmp_path_factory):
+    """A site for the events that do not end the gateway."""
     site = platform_site.PlatformSite(tmp_path_factory.mktemp("lasting"))
     yield site
     site.stop()
@@ -360,66 +365,72 @@
 
 @pytest.fixture
 def own_site(tmp_path):
-    """For one test."""
+    """A site for one test."""
     site = platform_site.PlatformSite(tmp_path)
     yield site
     site.stop()
 
 
-@pytest.fixture(scope="module", params=EVENTS, ids=lambda one: one.name)
-def played(request, tmp_path_factory):
-    """Each event, played once."""
+@pytest.fixture(scope="module", params=EVENTS, ids=lambda event: event.name)
+def event_outcome(request, tmp_path_factory):
+    """The outcome of each event, which is triggered once."""
     event = request.param
     if not event.ends:
-        return play(request.getfixturevalue("lasting_site"), event)
+        return run_event(request.getfixturevalue("shared_site"), event)
     site = platform_site.PlatformSite(tmp_path_factory.mktemp("ending"))
     try:
-        return play(site, event)
+        return run_event(site, event)
     finally:
         site.stop()
 
 
-def test_process_ends_only_where_it_should(played):
-    expected = 0 if played.event.ends else None
-    assert (played.not_noticed, played.exit_code) == ("", expected)
+def test_process_ends_only_where_it_should(event_outcome):
+    expected = 0 if event_outcome.event.ends else None
+    assert (event_outcome.not_observed, event_outcome.exit_code) == (
+        "",
+        expected,
+    )
 
 
-@pytest.mark.parametrize("under_way", UNDER_WAY)
-def test_request_runs_once_and_gets_its_whole_answer(played, under_way):
-    seen = played.seen[under_way]
-    assert (seen.answer.error, [one.is_cut for one in seen.runs]) == (
+@pytest.mark.parametrize("request_kind", REQUEST_KINDS)
+def test_request_runs_once_and_gets_its_whole_answer(
+    event_outcome, request_kind
+):
+    outcome = event_outcome.outcomes[request_kind]
+    assert (outcome.answer.error, [run.is_cut for run in outcome.runs]) == (
         "",
         [False],
     )
-    run = seen.runs[0]
-    assert run.body == seen.sent
-    assert_own_whole_answer(seen.answer, run)
+    run = outcome.runs[0]
+    assert run.body == outcome.sent
+    assert_complete_answer(outcome.answer, run)
 
 
-def assert_own_whole_answer(
+def assert_complete_answer(
     answer: platform_caller.Answer, run: platform_upstream.Run
 ) -> None:
-    """Fails unless a caller got exactly what its upstream answered."""
+    """Checks that a caller got exactly the answer of its upstream."""
     assert (answer.status, answer.signature) == (200, run.signature)
-    # By length first: a difference of megabytes is not readable.
+    # Lengths first: the diff of two bodies of megabytes is unreadable.
     assert len(answer.body) == len(run.answer)
     assert answer.body == run.answer
 
 
 def test_slow_caller_gets_the_rest_from_a_process_that_stops(own_site):
-    """A caller reads slowly, and the process gets SIGTERM.
+    """A process that stopped early would lose an answer that it has buffered.
 
-    The upstream's answer is whole and the request done, but most of its bytes
-    still wait in the process for the caller. If it ends then, they are lost.
+    The caller reads slowly when the process gets SIGTERM. The upstream has sent
+    its whole answer and the request is done, but most of the bytes are still in
+    the process. They are lost if it ends then.
     """
     own_site.prepare()
-    call = answered_unread(own_site)
+    call = send_unread_call(own_site)
     stop(own_site)
-    # It should not end: it still has bytes for its caller.
-    hold(own_site)
+    # The process should not end: it still has bytes for its caller.
+    wait_for_early_end(own_site)
     answer = call.finish()
     call.close()
     assert answer.error == ""
     (run,) = own_site.runs_of(call.request_id)
-    assert_own_whole_answer(answer, run)
+    assert_complete_answer(answer, run)
     assert own_site.gateway.exit_code() == 0
--- a/tests/signals_test.py
+++ b/tests/signals_test.py
@@ -1,7 +1,7 @@
-"""Tests of planned signals: none ends a process or cuts a request.
+"""Tests that no planned signal crashes a process or cuts off a request.
 
-Each program runs by itself and sends itself signals at a given age; see
-`signal_player.py`. No upstream, store or peer answers.
+Each program runs alone and sends itself signals at given stages; see
+`signal_sender.py`. No upstream, store or peer answers.
 """
 
 from collections.abc import Callable
@@ -21,24 +21,22 @@
 from sesamecross.runtime import application
 from sesamecross.runtime import signals
 
-PLAYER = pathlib.Path(__file__).with_name("signal_player.py")
-# The longest that a run may take before it counts as hung; they take 0.2 to
-# 4 s.
-HUNG_S = 60.0
-# The longest that a stop may take before it counts as hung; they take 0.1 to
-# 4 s.
-STOPS_S = 15.0
+SIGNAL_SENDER = pathlib.Path(__file__).with_name("signal_sender.py")
+# A run that takes longer counts as hung; runs take 0.2 to 4 s.
+RUN_TIMEOUT_S = 60.0
+# A stop that takes longer counts as hung; stops take 0.1 to 4 s.
+STOP_TIMEOUT_S = 15.0
 STARTED = "application: started"
 RELOAD = "application: reload requested"
 STOP = "application: stop requested"
 STOPPED = "application: stopped"
 
-# An address of its own for each process: a gateway's port for metrics is the
-# same everywhere, and other test runs may be under way beside this one.
+# Each process gets its own address: the metrics port of all gateways is the
+# same, and other test runs may run at the same time.
 _numbers = itertools.count(1)
 
 
-def _own_ip() -> str:
+def _unique_ip() -> str:
     high, low = divmod(os.getpid() % 30_000, 250)
     return f"127.{high + 1}.{low + 1}.{next(_numbers)}"
 
@@ -64,7 +62,7 @@
 
 def _entry(ip: str, _work: pathlib.Path) -> tuple[list[str], dict[str, str]]:
     flags = {"listen": f"{ip}:8001", "steward": f"{ip}:8002"}
-    return _own_flags(flags | {"balancer_lag_ms": "0"}), {}
+    return _common_flags(flags | {"balancer_lag_ms": "0"}), {}
 
 
 def _steward(ip: str, _work: pathlib.Path) -> tuple[list[str], dict[str, str]]:
@@ -74,10 +72,10 @@
         "log_url": f"http://{ip}:8003",
         "instances_url": f"http://{ip}:8004",
     }
-    return _own_flags(flags), {}
+    return _common_flags(flags), {}
 
 
-def _own_flags(flags: dict[str, str]) -> list[str]:
+def _common_flags(flags: dict[str, str]) -> list[str]:
     common = {"instance": "one", "zone": "a", "region": "r"}
     common["shared_key"] = "key-of-sixteen-and-more"
     return [
@@ -111,15 +109,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Played:
-    """How a run ended and what it wrote."""
+class _RunResult:
+    """Exit code and output of a run."""
 
     code: int
     output: str
 
     @property
     def log(self) -> list[dict]:
-        """The fields of each log line."""
+        """The fields of all log lines."""
         lines = self.output.splitlines()
         return [json.loads(line) for line in lines if line.startswith("{")]
 
@@ -128,86 +126,88 @@
         return [fields for fields in self.log if fields["event"] == event]
 
 
-def _play(
+def _run_program(
     program: str,
     work: pathlib.Path,
     plan: dict[str, list[str]],
-    drains: bool = False,
-    before: Callable[[], object] | None = None,
-) -> _Played:
-    """Runs a program with signals at given ages.
+    run_drain: bool = False,
+    parent_setup: Callable[[], object] | None = None,
+) -> _RunResult:
+    """Runs a program that gets signals at given stages.
 
     Args:
-      drains: Whether the program's own drain runs when it is asked to stop.
-      before: What whoever starts the program does to its process first.
+      run_drain: Whether the program's own drain runs when it is asked to stop.
+      parent_setup: Called in the new process before the program is executed.
     """
-    flags, variables = PROGRAMS[program](_own_ip(), work)
+    flags, variables = PROGRAMS[program](_unique_ip(), work)
     run = subprocess.run(
         [
             sys.executable,
-            str(PLAYER),
+            str(SIGNAL_SENDER),
             json.dumps(plan),
             f"sesamecross.scripts.{program}",
             *flags,
         ],
-        env=os.environ | variables | {"PLAYER_DRAINS": "1" if drains else "0"},
+        env=os.environ
+        | variables
+        | {"PLAYER_DRAINS": "1" if run_drain else "0"},
         stdin=subprocess.DEVNULL,
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
         text=True,
-        timeout=HUNG_S,
+        timeout=RUN_TIMEOUT_S,
         check=False,
-        preexec_fn=before,
+        preexec_fn=parent_setup,
     )
-    for age, names in plan.items():
+    for stage, names in plan.items():
         for name in names:
-            assert f"played: {age} {name}\n" in run.stdout, run.stdout
-    return _Played(run.returncode, run.stdout)
+            assert f"sent: {stage} {name}\n" in run.stdout, run.stdout
+    return _RunResult(run.returncode, run.stdout)
 
 
 @pytest.mark.parametrize("name", ["SIGTERM", "SIGINT"])
 @pytest.mark.parametrize("program", PROGRAMS)
 def test_a_stop_during_the_start_is_an_orderly_end(program, name, tmp_path):
-    """An instance that was stopped while it started counted as failed.
+    """A process that was stopped during its start counted as failed.
 
-    The platform asks a process to stop while it still imports its modules.
-    The signal's default action ended it with code -15 (-2 and a traceback
-    for an interrupt) and without a line in the log.
+    The platform asks a process to stop while it still imports its modules. The
+    default action of the signal ended it with code -15 (-2 and a traceback for
+    an interrupt) and without a log line.
     """
-    played = _play(program, tmp_path, {"import": [name]})
-    assert played.code == application.EXIT_OK, played.output
-    assert played.lines(STOP)
-    assert not played.lines(STARTED)
+    result = _run_program(program, tmp_path, {"import": [name]})
+    assert result.code == application.EXIT_OK, result.output
+    assert result.lines(STOP)
+    assert not result.lines(STARTED)
 
 
 @pytest.mark.parametrize("program", PROGRAMS)
 def test_a_settings_change_during_the_start_ends_nothing(program, tmp_path):
-    """A process ended when its settings changed while it started.
+    """A process ended when its settings changed during its start.
 
     The platform sends SIGHUP to a process that still imports its modules and
-    has no handler yet; the signal's default action ended it. The request must
-    be remembered too: the settings may have been read before they changed.
+    has no handler yet; the default action of the signal ended it. The request
+    must not be lost either: the old settings may have been read already.
     """
     plan = {"import": ["SIGHUP"], "running": ["SIGTERM"]}
-    played = _play(program, tmp_path, plan)
-    assert played.code == application.EXIT_OK, played.output
-    assert played.lines(RELOAD)
-    assert played.lines(STARTED)
+    result = _run_program(program, tmp_path, plan)
+    assert result.code == application.EXIT_OK, result.output
+    assert result.lines(RELOAD)
+    assert result.lines(STARTED)
 
 
 @pytest.mark.parametrize("program", PROGRAMS)
 def test_an_end_keeps_its_own_exit_code(program, tmp_path):
-    """A process that had stopped in good order was counted as failed.
+    """A process that had stopped cleanly was counted as failed.
 
-    Its loop took the handlers away as it closed. Signals that came after it,
-    before the process was gone, met the default action: code 129 for new
-    settings, 143 for the stop being asked for once more.
+    The event loop removed its signal handlers when it closed. Later signals,
+    until the process ended, had their default action: exit code 129 for SIGHUP
+    and 143 for a repeated SIGTERM.
     """
     late = ["SIGHUP", "SIGTERM", "SIGINT", "SIGTERM", "SIGINT"]
     plan = {"running": ["SIGTERM"], "atexit": late, "teardown": late}
-    played = _play(program, tmp_path, plan)
-    assert played.code == application.EXIT_OK, played.output
-    assert played.lines(STOPPED)[0]["code"] == application.EXIT_OK
+    result = _run_program(program, tmp_path, plan)
+    assert result.code == application.EXIT_OK, result.output
+    assert result.lines(STOPPED)[0]["code"] == application.EXIT_OK
 
 
 def _block_signals() -> None:
@@ -219,44 +219,46 @@
         signal.signal(number, signal.SIG_IGN)
 
 
-@pytest.mark.parametrize("before", [_block_signals, _ignore_signals])
+@pytest.mark.parametrize("parent_setup", [_block_signals, _ignore_signals])
 @pytest.mark.parametrize("program", PROGRAMS)
-def test_signals_are_heard_whatever_the_parent_did(program, before, tmp_path):
-    """A process heard neither new settings nor its stop, and was killed.
-
-    Whoever had started it kept signals from itself meanwhile, and a process
-    inherits which signals are blocked. Its handlers were set, but the system
-    never called them: the stop waited until the grace was over, and the kill
-    cut off what was open.
+def test_signals_are_handled_whatever_the_parent_did(
+    program, parent_setup, tmp_path
+):
+    """A process ignored SIGHUP and SIGTERM, and was killed.
+
+    Its parent had blocked signals while it started the process, and a process
+    inherits the signal mask. The handlers were installed but never called: the
+    stop waited until the grace period was over, and the kill cut off open
+    requests.
     """
     plan = {"import": ["SIGHUP"], "running": ["SIGTERM"]}
-    played = _play(program, tmp_path, plan, before=before)
-    assert played.code == application.EXIT_OK, played.output
-    assert played.lines(RELOAD)
-    assert played.lines(STOP)
+    result = _run_program(program, tmp_path, plan, parent_setup=parent_setup)
+    assert result.code == application.EXIT_OK, result.output
+    assert result.lines(RELOAD)
+    assert result.lines(STOP)
 
 
 @pytest.mark.parametrize("first", ["SIGTERM", "SIGINT"])
-def test_a_gateway_drains_whoever_asks_again(first, tmp_path):
-    """A second request to stop cut off the answers that a gateway relayed.
+def test_a_gateway_drains_despite_further_stop_signals(first, tmp_path):
+    """A second stop signal cut off the answers that a gateway relayed.
 
-    The platform and an operator had each asked for the same stop. The second
-    signal ended the process with code 3 in the middle of its drain.
+    The platform and an operator had both requested the same stop. The second
+    signal ended the process with code 3 during its drain.
     """
     again = {"SIGTERM": ["SIGTERM", "SIGINT"], "SIGINT": ["SIGTERM"]}[first]
     plan = {"running": [first], "draining": again}
-    played = _play("gateway", tmp_path, plan, drains=True)
-    assert played.code == application.EXIT_OK, played.output
-    assert played.lines("gateway: drained")
+    result = _run_program("gateway", tmp_path, plan, run_drain=True)
+    assert result.code == application.EXIT_OK, result.output
+    assert result.lines("gateway: drained")
 
 
 @pytest.mark.parametrize("program", PROGRAMS)
 def test_signals_for_the_rotation_of_logs_end_nothing(program, tmp_path):
-    """A tool that rotates logs ended the processes whose logs it rotates.
+    """A log rotation tool ended the processes whose logs it rotated.
 
-    It sends SIGUSR1 or SIGUSR2 so that a program opens its logs anew. Ours
-    write to a descriptor that they are given and have no use for it, but the
-    signal's default action ends a process that has no handler.
+    It sends SIGUSR1 or SIGUSR2 so that a program reopens its log files. Ours
+    write to an inherited descriptor and need no such signal, but its default
+    action ends a process that has no handler.
     """
     names = ["SIGUSR1", "SIGUSR2"]
     plan = {
@@ -266,29 +268,29 @@
         "atexit": names,
         "teardown": names,
     }
-    played = _play(program, tmp_path, plan)
-    assert played.code == application.EXIT_OK, played.output
-    assert played.lines(STARTED)
+    result = _run_program(program, tmp_path, plan)
+    assert result.code == application.EXIT_OK, result.output
+    assert result.lines(STARTED)
 
 
 def test_a_log_tells_each_signal_by_the_phase_in_which_it_came(tmp_path):
-    """Nobody could tell from a process's lines what its signals had done.
+    """The log did not show what the signals to a process had done.
 
-    A signal that came before the start, or that changed nothing, left no
-    line; the last one did not say what had asked for the end.
+    A signal that came before the start, or that had no effect, was not logged,
+    and the last line did not name what had requested the stop.
     """
     plan = {
         "import": ["SIGHUP", "SIGUSR1"],
         "running": ["SIGUSR2", "SIGTERM"],
         "draining": ["SIGTERM", "SIGINT"],
     }
-    played = _play("entry", tmp_path, plan)
-    told = [
+    result = _run_program("entry", tmp_path, plan)
+    signal_phases = [
         (fields["signal"], fields["phase"])
-        for fields in played.log
+        for fields in result.log
         if "signal" in fields
     ]
-    assert sorted(told) == [
+    assert sorted(signal_phases) == [
         ("SIGHUP", "before the start"),
         ("SIGINT", "stopping"),
         ("SIGTERM", "running"),
@@ -296,16 +298,17 @@
         ("SIGUSR1", "before the start"),
         ("SIGUSR2", "running"),
     ]
-    (stopped,) = played.lines(STOPPED)
+    (stopped,) = result.lines(STOPPED)
     assert stopped["asked_by"] == "SIGTERM"
 
 
-def _is_gone(reader: int, _process: subprocess.Popen) -> None:
+def _close_reader(reader: int, _process: subprocess.Popen) -> None:
     os.close(reader)
 
 
-def _stands_still(_reader: int, process: subprocess.Popen) -> None:
-    # A description of its own of the same pipe: the process's stays as it is.
+def _fill_pipe(_reader: int, process: subprocess.Popen) -> None:
+    # A separate open file description of the same pipe, so that the one of the
+    # process stays blocking.
     flags = os.O_WRONLY | os.O_NONBLOCK
     writer = os.open(f"/proc/{process.pid}/fd/2", flags)
     with contextlib.suppress(BlockingIOError):
@@ -314,16 +317,18 @@
     os.close(writer)
 
 
-@pytest.mark.parametrize("reader_ends", [_is_gone, _stands_still])
+@pytest.mark.parametrize("stop_reading", [_close_reader, _fill_pipe])
 @pytest.mark.parametrize("program", PROGRAMS)
-def test_a_stop_needs_nobody_who_reads_the_log(program, reader_ends, tmp_path):
-    """A process whose log nobody read did not stop, and was killed.
-
-    What collected the lines had ended, or stood still, before the stop. The
-    line that tells of the signal is written before the stop is begun: the
-    write failed, or never returned, and the stop was lost with it.
+def test_a_stop_does_not_depend_on_a_log_reader(
+    program, stop_reading, tmp_path
+):
+    """A process whose log was not read did not stop, and was killed.
+
+    The log collector had ended, or hung, before the stop. The signal is logged
+    before the stop begins: the write failed, or blocked for ever, and the stop
+    was never begun.
     """
-    flags, variables = PROGRAMS[program](_own_ip(), tmp_path)
+    flags, variables = PROGRAMS[program](_unique_ip(), tmp_path)
     reader, writer = os.pipe()
     process = subprocess.Popen(
         [sys.executable, "-m", f"sesamecross.scripts.{program}", *flags],
@@ -334,14 +339,14 @@
     )
     os.close(writer)
     try:
-        told = b""
-        while STARTED.encode() not in told:
+        output = b""
+        while STARTED.encode() not in output:
             piece = os.read(reader, 4096)
-            assert piece, told
-            told += piece
-        reader_ends(reader, process)
+            assert piece, output
+            output += piece
+        stop_reading(reader, process)
         process.send_signal(signal.SIGTERM)
-        assert process.wait(STOPS_S) == application.EXIT_OK
+        assert process.wait(STOP_TIMEOUT_S) == application.EXIT_OK
     finally:
         process.kill()
         process.wait()
