--- a/sesamecross/devtools/experiment.py
+++ b/sesamecross/devtools/experiment.py
@@ -177,8 +177,8 @@
 
 
 def _summarize_seeds(runs: list[dict]) -> dict:
-    attained_shares = [one["all"]["attained"] for one in runs]
-    kept_rates = [one["all"]["kept_per_s"] for one in runs]
+    attained_shares = [figures["all"]["attained"] for figures in runs]
+    kept_rates = [figures["all"]["kept_per_s"] for figures in runs]
     return {
         "attained_median": statistics.median(attained_shares),
         "attained_each": attained_shares,
--- a/sesamecross/devtools/processes.py
+++ b/sesamecross/devtools/processes.py
@@ -28,12 +28,12 @@
     """Returns loopback ports that were free just now; they are not reserved."""
     sockets = [socket.socket() for _ in range(count)]
     try:
-        for one in sockets:
-            one.bind(("127.0.0.1", 0))
-        return [one.getsockname()[1] for one in sockets]
+        for sock in sockets:
+            sock.bind(("127.0.0.1", 0))
+        return [sock.getsockname()[1] for sock in sockets]
     finally:
-        for one in sockets:
-            one.close()
+        for sock in sockets:
+            sock.close()
 
 
 class Process:
--- a/tests/calls_test.py
+++ b/tests/calls_test.py
@@ -233,12 +233,12 @@
         f"Authorization: Bearer {deployment_lib.CALLER_KEY}\r\n"
         f"Content-Length: {len(body)}\r\n\r\n{body}"
     )
-    slow = []
+    slow_connections = []
     for _ in range(5):
-        raw = socket.create_connection((host, int(port)))
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        raw.sendall(head.encode())
-        slow.append(raw)
+        connection = socket.create_connection((host, int(port)))
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        connection.sendall(head.encode())
+        slow_connections.append(connection)
     try:
         for number in range(5):
             status, answer, _ = demo.Caller().chat(
@@ -246,8 +246,8 @@
             )
             assert (status, token_numbers(answer)) == (200, [1, 2, 3, 4, 5])
     finally:
-        for raw in slow:
-            raw.close()
+        for connection in slow_connections:
+            connection.close()
 
 
 def test_a_planned_stop_of_an_entry_completes_its_calls(new_deployment):
