--- a/sesamecross/core/serving.py
+++ b/sesamecross/core/serving.py
@@ -138,10 +138,10 @@
 class CallerLimits:
     """Limits on the size of callers' requests, and on slow or idle callers."""
 
-    head_bytes: int = 16_384
-    body_bytes: int = 4 * 1024 * 1024
-    head_s: float = 3.0
-    idle_s: float = 15.0
+    max_header_bytes: int = 16_384
+    max_body_bytes: int = 4 * 1024 * 1024
+    header_timeout_s: float = 3.0
+    idle_timeout_s: float = 15.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -287,9 +287,9 @@
       grace_s: From the stop signal to the kill.
       config_apply_s: From the store's publication of a configuration until it
         is in force.
-      retry_share, retry_extra, retry_window_s: Retry budget over all
+      retry_ratio, retry_extra, retry_window_s: Retry budget over all
         instances. In a window, sends beyond the first of each request may be
-        `retry_share` of the requests plus `retry_extra`.
+        `retry_ratio` of the requests plus `retry_extra`.
       lease_s: Least time between the orders of two instances to one upstream.
       loads_window_s, loads_overage: Limit on loads from the weight store that
         begin in a window, over all upstreams.
@@ -302,7 +302,7 @@
     drain_s: float = 2.5
     grace_s: float = 8.0
     config_apply_s: float = 2.5
-    retry_share: float = 0.2
+    retry_ratio: float = 0.2
     retry_extra: float = 50.0
     retry_window_s: float = 10.0
     lease_s: float = 3.0
--- a/sesamecross/devtools/demo.py
+++ b/sesamecross/devtools/demo.py
@@ -36,8 +36,8 @@
 
     def __init__(self, deployment: deployment_lib.Deployment):
         self._environment = {
-            command_line.LOG_VARIABLE: deployment.log_url,
-            command_line.KEY_VARIABLE: deployment_lib.SHARED_KEY,
+            command_line.LOG_URL_VARIABLE: deployment.log_url,
+            command_line.SHARED_KEY_VARIABLE: deployment_lib.SHARED_KEY,
         }
 
     def run(self, *arguments: str) -> tuple[int, str]:
--- a/sesamecross/fakes/placement_simulation.py
+++ b/sesamecross/fakes/placement_simulation.py
@@ -261,7 +261,7 @@
         self._record_snapshot()
         for target in sorted(self.requested_targets):
             upstream = ENGINE if "/" in target else ""
-            self.controller.want(SERVICE, target, upstream)
+            self.controller.request_placement(SERVICE, target, upstream)
         self.controller._tick(self._now_s)
         for _ in range(_LOOP_TURNS_PER_TICK):
             await asyncio.sleep(0)
--- a/sesamecross/fakes/simulated_engine.py
+++ b/sesamecross/fakes/simulated_engine.py
@@ -52,8 +52,9 @@
 
     Attributes:
       orders: How many orders it has accepted.
-      adapters: All adapters that it lists, including the departing ones.
-      departing: Adapters that are unloaded once their requests have ended.
+      adapters: All adapters that it lists, including those being unloaded.
+      unloading_adapters: Adapters that are unloaded once their requests have
+        ended.
       loading, unloading: The model of the order in progress.
       was_overcommitted: Whether it was ever ordered to load more than fits.
     """
@@ -62,8 +63,8 @@
         self.orders = 0
         self.models = set(models)
         self.adapters: set[str] = set()
-        self.arriving: set[str] = set()
-        self.departing: set[str] = set()
+        self.loading_adapters: set[str] = set()
+        self.unloading_adapters: set[str] = set()
         self.loading: str | None = None
         self.unloading: str | None = None
         self.was_overcommitted = False
@@ -85,7 +86,9 @@
         model = target.partition("/")[0]
         if model not in self.models or model == self.unloading:
             return False
-        is_adapter = target in self.adapters and target not in self.departing
+        is_adapter = (
+            target in self.adapters and target not in self.unloading_adapters
+        )
         return is_adapter or target == model
 
     # -- orders ----------------------------------------------------------
@@ -121,27 +124,27 @@
         return serving.OrderAnswer.ACCEPTED
 
     def _load_adapter(self, target: str) -> serving.OrderAnswer:
-        if target in self.adapters | self.arriving:
+        if target in self.adapters | self.loading_adapters:
             return serving.OrderAnswer.ALREADY_DONE
         if target.partition("/")[0] not in self.models:
             return serving.OrderAnswer.REFUSED
         self.orders += 1
-        self.arriving.add(target)
+        self.loading_adapters.add(target)
         return serving.OrderAnswer.ACCEPTED
 
     def _unload_adapter(self, target: str) -> serving.OrderAnswer:
-        if target not in self.adapters or target in self.departing:
+        if target not in self.adapters or target in self.unloading_adapters:
             return serving.OrderAnswer.ALREADY_DONE
         self.orders += 1
         if self._running_requests.get(target):
-            self.departing.add(target)
+            self.unloading_adapters.add(target)
             return serving.OrderAnswer.ACCEPTED
         self.adapters.discard(target)
         return serving.OrderAnswer.ALREADY_DONE
 
     def _record_overcommit(self) -> None:
         held = self.models | ({self.loading} if self.loading else set())
-        adapters = self.adapters | self.arriving
+        adapters = self.adapters | self.loading_adapters
         used_mb = sum(self._capacity.model_sizes_mb[name] for name in held)
         used_mb += len(adapters) * self._capacity.adapter_mb
         if (
@@ -154,8 +157,8 @@
 
     def complete_adapters(self) -> None:
         """Completes the loads of adapters."""
-        self.adapters |= self.arriving
-        self.arriving = set()
+        self.adapters |= self.loading_adapters
+        self.loading_adapters = set()
 
     def complete(self) -> None:
         """Completes all orders except an unload that running requests block."""
@@ -168,7 +171,11 @@
         ):
             adapter_prefix = f"{self.unloading}/"
             self.models.discard(self.unloading)
-            for targets in (self.adapters, self.departing, self.arriving):
+            for targets in (
+                self.adapters,
+                self.unloading_adapters,
+                self.loading_adapters,
+            ):
                 targets -= {
                     target
                     for target in targets
@@ -183,13 +190,13 @@
         )
 
     def end_request(self, target: str) -> None:
-        """Ends a request; a departing adapter goes with its last request."""
+        """Ends a request; an adapter being unloaded goes with its last one."""
         self._running_requests[target] -= 1
         if self._running_requests[target]:
             return
         del self._running_requests[target]
-        if target in self.departing:
-            self.departing.discard(target)
+        if target in self.unloading_adapters:
+            self.unloading_adapters.discard(target)
             self.adapters.discard(target)
 
     def _has_running_requests(self, model: str) -> bool:
@@ -201,7 +208,7 @@
     # -- what it reports -------------------------------------------------
 
     def held(self) -> tuple[serving.ResidentModel, ...]:
-        """Returns its models and adapters, including departing ones."""
+        """Returns its models and adapters, including those being unloaded."""
         return tuple(
             serving.ResidentModel(
                 name,
@@ -221,7 +228,7 @@
             self.orders,
             self.is_busy,
             self.held(),
-            frozenset(self.arriving),
+            frozenset(self.loading_adapters),
             serving.WeightCopies(),
             0,
             sum(self._running_requests.values()),
--- a/sesamecross/gateway/app.py
+++ b/sesamecross/gateway/app.py
@@ -166,7 +166,9 @@
         controller = placement_controller.PlacementController(
             self.state, self.mesh, self.lease, engines, self.metrics
         )
-        self.forwarder.search_context.request_placement = controller.want
+        self.forwarder.search_context.request_placement = (
+            controller.request_placement
+        )
         pacing = pacing_lib.Pacing(self.state, self.mesh)
         self.forwarder.search_context.pacing = pacing
         address = f"{instance.ip}:{instance.ports[0]}"
@@ -231,7 +233,7 @@
                     )
                 )
             outcomes = known.health.outcomes(now_s)
-            if known.failing(now_s) >= MIN_REPORTED_FAILURE_SHARE:
+            if known.failure_share(now_s) >= MIN_REPORTED_FAILURE_SHARE:
                 failing.append(
                     fm.UpstreamOutcomes(
                         name,
--- a/sesamecross/gateway/catalog_test.py
+++ b/sesamecross/gateway/catalog_test.py
@@ -33,9 +33,9 @@
 def make_sinks(state, wrap=lambda decode: decode) -> catalog.Catalog:
     return catalog.Catalog(
         catalog.ConfigurationSink(
-            state, "config", wrap(decoders.configuration)
+            state, "config", wrap(decoders.decode_configuration)
         ),
-        catalog.UpstreamSink(state, wrap(decoders.upstream)),
+        catalog.UpstreamSink(state, wrap(decoders.decode_upstream)),
     )
 
 
--- a/sesamecross/gateway/engine_search.py
+++ b/sesamecross/gateway/engine_search.py
@@ -124,7 +124,7 @@
         while True:
             now_s = loop.time()
             choice = self._choose_engine(tried, now_s)
-            if choice is None or choice.lacks_adapter:
+            if choice is None or choice.must_load_adapter:
                 if not await self._wait_for_target(choice, now_s):
                     return None
                 continue
@@ -304,7 +304,9 @@
         fields: dict[str, object] = {}
         if self._planned_arrival_s is not None:
             fields["expected_in_s"] = round(self._planned_arrival_s - now_s, 2)
-        plan_times_s = [known.engine.place_s for known in self._usable()]
+        plan_times_s = [
+            known.engine.placement_received_s for known in self._usable()
+        ]
         if plan_times_s:
             fields["plan_age_ms"] = round((now_s - max(plan_times_s)) * 1000)
         if self._refused_by:
--- a/sesamecross/gateway/engine_tracker.py
+++ b/sesamecross/gateway/engine_tracker.py
@@ -90,9 +90,7 @@
 
     def can_take_order(self, now_s: float) -> bool:
         """Returns whether an order may be sent now."""
-        is_loading = any(
-            "/" not in target for target in self.inventory.arriving
-        )
+        is_loading = any("/" not in target for target in self.inventory.loading)
         return (
             not self.has_open_call
             and self.inventory.is_fully_known
@@ -104,7 +102,7 @@
         """Returns whether a report is needed: state is uncertain or overdue."""
         is_overdue = any(
             "/" not in target and at_s + LOAD_OVERDUE_S <= now_s
-            for target, at_s in self.inventory.arriving.items()
+            for target, at_s in self.inventory.loading.items()
         )
         is_refused = self.conflicts >= CONFLICTS_BEFORE_QUERY
         return not self.inventory.is_fully_known or is_overdue or is_refused
@@ -201,11 +199,11 @@
             if tracked.has_open_call or now_s < tracked.not_before_s:
                 continue
             needs_report = tracked.needs_report(now_s)
-            has_departing = (
-                tracked.inventory.departing_adapters()
+            has_unloading_adapters = (
+                tracked.inventory.unloading_adapters()
                 and now_s >= tracked.next_unload_check_s
             )
-            if not needs_report and not has_departing:
+            if not needs_report and not has_unloading_adapters:
                 continue
             known = self._state.directory.get(instance_id)
             if known is not None and not known.is_down(now_s):
--- a/sesamecross/gateway/lease_manager_test.py
+++ b/sesamecross/gateway/lease_manager_test.py
@@ -295,7 +295,7 @@
         mesh = manager._mesh
         mesh.transport = _Transport()
         for member in members:
-            mesh.roster.heard(member, START_S)
+            mesh.roster.on_heartbeat(member, START_S)
         running = asyncio.create_task(manager.run())
         while not manager.holds:
             await topic.run_steps(1)
@@ -304,7 +304,7 @@
         for member in members:
             peer = manager_on(topic, monkeypatch)
             peer._mesh.join(member, b"secret", (ME,))
-            peer._mesh.roster.heard(ME, START_S)
+            peer._mesh.roster.on_heartbeat(ME, START_S)
             peer._mesh.update_lease(mesh.lease, START_S)
             assert peer._is_holder_live()
             peers.append(peer)
--- a/sesamecross/gateway/mesh.py
+++ b/sesamecross/gateway/mesh.py
@@ -517,7 +517,7 @@
         now_s = asyncio.get_running_loop().time()
         if message.me.name == self.roster.me.name:
             return
-        if not self.roster.heard(message.me, now_s):
+        if not self.roster.on_heartbeat(message.me, now_s):
             self._count("earlier-life")
             return
         match message:
@@ -574,7 +574,7 @@
     def _on_summary(self, message: fm.Summary, now_s: float) -> None:
         if self._summaries.take(message, now_s):
             for member in message.members:
-                self.roster.heard(member, now_s)
+                self.roster.on_heartbeat(member, now_s)
             self._on_lease(message.lease, now_s)
 
     def _on_view(self, message: fm.View, now_s: float) -> None:
@@ -582,7 +582,7 @@
             hub = message.me
             self._hub_progress.record_position(hub.name, hub.upstreams, now_s)
         for member in message.members:
-            self.roster.heard(member, now_s)
+            self.roster.on_heartbeat(member, now_s)
         self._on_lease(message.lease, now_s)
         number = message.taken.get(self.roster.me.name, 0)
         taken = self._unconfirmed_reports.get(number)
--- a/sesamecross/gateway/mesh_load_test.py
+++ b/sesamecross/gateway/mesh_load_test.py
@@ -92,13 +92,13 @@
         report = fm.Report(
             member(1, index), number, loads(1), [], demand(index)
         )
-        mesh.roster.heard(report.me, now_s)
+        mesh.roster.on_heartbeat(report.me, now_s)
         mesh._reports.take(report, now_s)
     for zone in range(2, 7):
         members = [member(zone, index) for index in range(1, MEMBERS + 1)]
         summary = fm.Summary(members[0], number, members, loads(3))
         for each in members:
-            mesh.roster.heard(each, now_s)
+            mesh.roster.on_heartbeat(each, now_s)
         mesh._summaries.take(summary, now_s)
 
 
@@ -174,7 +174,7 @@
         mesh.join(member(1, 2), b"secret", (member(1, 1),))
         mesh.transport = _Transport()
         now_s = asyncio.get_running_loop().time()
-        mesh.roster.heard(member(1, 1), now_s)
+        mesh.roster.on_heartbeat(member(1, 1), now_s)
         monkeypatch.setattr(
             roster_lib.Roster, "hub_of", lambda *_: member(1, 1).name
         )
--- a/sesamecross/gateway/pacing.py
+++ b/sesamecross/gateway/pacing.py
@@ -284,7 +284,7 @@
         upstream = message.upstream
         pacer = self._pacers.setdefault(upstream, pacer_lib.Pacer())
         key = (message.me.name, message.number)
-        decisions = pacer.ask(
+        decisions = pacer.request(
             key,
             message.tokens,
             now_s + message.spare_s,
--- a/sesamecross/gateway/pacing_test.py
+++ b/sesamecross/gateway/pacing_test.py
@@ -62,7 +62,7 @@
         meshes = [_Mesh(name, meshes_by_name) for name in NAMES]
         for mesh in meshes:
             for other in meshes:
-                mesh.roster.heard(other.me, NOW_S)
+                mesh.roster.on_heartbeat(other.me, NOW_S)
         self.pacing_by_name = {
             mesh.me.name: pacing_lib.Pacing(state, mesh) for mesh in meshes
         }
--- a/sesamecross/gateway/placement_controller.py
+++ b/sesamecross/gateway/placement_controller.py
@@ -120,7 +120,9 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(TICK_INTERVAL_S):
                     await self._wake.wait()
-            await asyncio.sleep(max(0.0, self._tick_pace.free_s - loop.time()))
+            await asyncio.sleep(
+                max(0.0, self._tick_pace.next_start_s - loop.time())
+            )
             self._wake.clear()
             started_s = loop.time()
             plan_time_s = self._tick(started_s)
@@ -148,7 +150,9 @@
 
     # -- placement requests --------------------------------------------
 
-    def want(self, service: str, target: str, upstream: str) -> None:
+    def request_placement(
+        self, service: str, target: str, upstream: str
+    ) -> None:
         """Notes that a request of this instance waits for a target."""
         lease = self._mesh.lease
         now_s = asyncio.get_running_loop().time()
@@ -323,7 +327,7 @@
         active_loads = sum(
             1
             for engine in engines
-            for target, at_s in engine.inventory.arriving.items()
+            for target, at_s in engine.inventory.loading.items()
             if "/" not in target and target in self._demand_history.from_store
         )
         demand = self._demand_history.demand(
@@ -351,7 +355,7 @@
             self._active_withdrawals(now_s),
             self._targets.get(service, {}),
             tuple(
-                placement_types.AdapterWant(upstream, target)
+                placement_types.AdapterRequest(upstream, target)
                 for (requested, target, upstream) in self._placement_requests
                 if requested == service and upstream and "/" in target
             ),
--- a/sesamecross/gateway/placement_controller_engine_state_test.py
+++ b/sesamecross/gateway/placement_controller_engine_state_test.py
@@ -38,7 +38,7 @@
     simulation.begin_request("m/a1", is_reported=False)
     simulation.requested_targets = {"m/a3"}
     simulation.run(seconds)
-    assert simulation.engine.departing == {"m/a1"}
+    assert simulation.engine.unloading_adapters == {"m/a1"}
 
 
 def test_an_adapter_in_use_keeps_its_place_until_its_requests_end(simulation):
--- a/sesamecross/gateway/placement_controller_load_test.py
+++ b/sesamecross/gateway/placement_controller_load_test.py
@@ -113,12 +113,12 @@
             simulation.state, mesh, lease, simulation, simulation.metrics
         )
         for _ in range(20):
-            controller.want(simulation_lib.SERVICE, "m", "")
+            controller.request_placement(simulation_lib.SERVICE, "m", "")
         assert len(mesh.sent) == 1
         mesh.lease.holder = holder
         loop.work(after_s)
         for _ in range(20):
-            controller.want(simulation_lib.SERVICE, target, "")
+            controller.request_placement(simulation_lib.SERVICE, target, "")
 
     with asyncio.Runner(
         loop_factory=virtual_time_loop.VirtualTimeLoop
--- a/sesamecross/gateway/placement_publisher.py
+++ b/sesamecross/gateway/placement_publisher.py
@@ -46,7 +46,7 @@
         sorted(targets),
         [
             (target, round(at_s - now_s, 2))
-            for target, at_s in sorted(inventory.arriving.items())
+            for target, at_s in sorted(inventory.loading.items())
         ],
         [
             (target, round(at_s - now_s, 2))
--- a/sesamecross/gateway/placement_publisher_test.py
+++ b/sesamecross/gateway/placement_publisher_test.py
@@ -124,7 +124,7 @@
     inventory = engine_inventory.EngineInventory("e1", 7, orders=3)
     inventory.models = {"m1", "m2"}
     inventory.adapters = {"m1/a1", "m2/a1"}
-    inventory.arriving = {"m3": 12.5}
+    inventory.loading = {"m3": 12.5}
     published = placement_publisher.engine_placement(
         inventory, {"m1"}, {"m2": 11.0, "m4": 14.0}, 10.0
     )
--- a/sesamecross/gateway/server_connection.py
+++ b/sesamecross/gateway/server_connection.py
@@ -152,9 +152,13 @@
     @property
     def keep_alive_header(self) -> bytes:
         """Header line with the idle timeout for the caller, or empty."""
-        idle_s = int(self._handler.limits.idle_s)
-        self._advertised_idle_s = idle_s
-        return b"keep-alive: timeout=%d\r\n" % idle_s if idle_s else b""
+        idle_timeout_s = int(self._handler.limits.idle_timeout_s)
+        self._advertised_idle_s = idle_timeout_s
+        return (
+            b"keep-alive: timeout=%d\r\n" % idle_timeout_s
+            if idle_timeout_s
+            else b""
+        )
 
     # -- asyncio.Protocol ----------------------------------------------
 
@@ -233,8 +237,8 @@
         head = self._head
         head.size += size
         if (
-            head.size > self._limits.head_bytes
-            and head.size > self._handler.limits.head_bytes
+            head.size > self._limits.max_header_bytes
+            and head.size > self._handler.limits.max_header_bytes
         ):
             self._reject_status = 431
 
@@ -245,8 +249,8 @@
         not know that, and would not retry after a 413.
         """
         return (
-            size > self._limits.body_bytes
-            and size > self._handler.limits.body_bytes
+            size > self._limits.max_body_bytes
+            and size > self._handler.limits.max_body_bytes
         )
 
     def on_headers_complete(self) -> None:
@@ -430,10 +434,10 @@
         """
         limits = self._handler.limits
         if self._is_reading_head:
-            return limits.head_s
+            return limits.header_timeout_s
         if self._is_reading:
-            return limits.idle_s
-        return max(limits.idle_s, self._advertised_idle_s)
+            return limits.idle_timeout_s
+        return max(limits.idle_timeout_s, self._advertised_idle_s)
 
     def _arm_read_timeout(self) -> None:
         self._armed_limit_s = self._current_limit_s
--- a/sesamecross/gateway/server_connection_test.py
+++ b/sesamecross/gateway/server_connection_test.py
@@ -19,7 +19,10 @@
 # Ends a test that hangs; no test waits this long.
 TEST_TIMEOUT_S = 10.0
 LIMITS = serving.CallerLimits(
-    head_bytes=400, body_bytes=100, head_s=3.0, idle_s=15.0
+    max_header_bytes=400,
+    max_body_bytes=100,
+    header_timeout_s=3.0,
+    idle_timeout_s=15.0,
 )
 
 
@@ -411,7 +414,7 @@
     timed.connection.data_received(GET)
     timed.respond()
     timed.loop.advance(5.0)
-    timed.set_limits(idle_s=60.0)
+    timed.set_limits(idle_timeout_s=60.0)
     timed.loop.advance(43.0)
     assert not timed.transport.is_closed
     timed.loop.advance(12.0)
@@ -429,7 +432,7 @@
     response_writer = timed.handler.response_writers.pop()
     response_writer.begin_chunked(200, [], b"first")
     assert b"keep-alive: timeout=15\r\n" in timed.transport.written
-    timed.set_limits(idle_s=5.0)
+    timed.set_limits(idle_timeout_s=5.0)
     response_writer.end_chunked()
     timed.loop.advance(14.0)
     assert not timed.transport.is_closed
@@ -440,8 +443,10 @@
 @pytest.mark.parametrize(
     ("partial_request", "raised"),
     [
-        pytest.param(b"POST /a HTTP/1.1\r\n", "head_s", id="head"),
-        pytest.param(POST + b"Content-Length: 2\r\n\r\nh", "idle_s", id="body"),
+        pytest.param(b"POST /a HTTP/1.1\r\n", "header_timeout_s", id="head"),
+        pytest.param(
+            POST + b"Content-Length: 2\r\n\r\nh", "idle_timeout_s", id="body"
+        ),
     ],
 )
 def test_a_request_may_take_as_long_as_the_current_limit(
@@ -465,17 +470,17 @@
                 POST + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
                 b"6\r\n world\r\n0\r\n\r\n",
             ],
-            {"body_bytes": 8},
+            {"max_body_bytes": 8},
             id="chunked body",
         ),
         pytest.param(
             [POST + b"Content-Le", b"ngth: 11\r\n\r\nhello world"],
-            {"body_bytes": 8},
+            {"max_body_bytes": 8},
             id="body with a length",
         ),
         pytest.param(
             [POST, b"X-Long: " + b"x" * 200 + b"\r\n\r\n"],
-            {"head_bytes": 100},
+            {"max_header_bytes": 100},
             id="head",
         ),
     ],
--- a/sesamecross/gateway/state.py
+++ b/sesamecross/gateway/state.py
@@ -160,4 +160,4 @@
 
     def _retry_limits(self) -> tuple[float, float, float]:
         bounds = self.bounds
-        return bounds.retry_share, bounds.retry_extra, bounds.retry_window_s
+        return bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_s
--- a/sesamecross/gateway/state_test.py
+++ b/sesamecross/gateway/state_test.py
@@ -11,7 +11,7 @@
 INSTANCE = dataclasses.replace(
     samples.INSTANCE,
     bounds=serving.Bounds(
-        retry_share=0.2, retry_extra=20.0, retry_window_s=10.0
+        retry_ratio=0.2, retry_extra=20.0, retry_window_s=10.0
     ),
 )
 ROUTE = serving.Route(
@@ -66,8 +66,8 @@
 CHANGES = [
     ({"retry_extra": 40.0}, True),
     ({"retry_extra": 2.0}, False),
-    ({"retry_share": 1.0}, True),
-    ({"retry_share": 0.0}, False),
+    ({"retry_ratio": 1.0}, True),
+    ({"retry_ratio": 0.0}, False),
     # A window of 1 s no longer includes retries of 2 s ago.
     ({"retry_window_s": 1.0}, True),
 ]
@@ -91,5 +91,5 @@
     state = state_lib.State(INSTANCE)
     for _ in range(100):
         state.retry_budget(ROUTE).request(100.0)
-    state.apply_settings(instance_with_bounds(retry_extra=0.0, retry_share=0.0))
+    state.apply_settings(instance_with_bounds(retry_extra=0.0, retry_ratio=0.0))
     assert spend_until_exhausted(state.retry_budget(ROUTE), 100.0) <= 1
--- a/sesamecross/gateway/status.py
+++ b/sesamecross/gateway/status.py
@@ -7,7 +7,7 @@
 from sesamecross.runtime import metrics as metrics_lib
 
 _TEXT = [(b"content-type", b"text/plain; version=0.0.4")]
-_LIMITS = serving.CallerLimits(body_bytes=1024)
+_LIMITS = serving.CallerLimits(max_body_bytes=1024)
 
 
 class StatusHandler:
--- a/sesamecross/operators/command_line.py
+++ b/sesamecross/operators/command_line.py
@@ -26,8 +26,8 @@
 from sesamecross.runtime import signals
 from sesamecross.utils import digest
 
-LOG_VARIABLE = "SESAMECROSS_LOG"
-KEY_VARIABLE = "SESAMECROSS_SHARED_KEY"
+LOG_URL_VARIABLE = "SESAMECROSS_LOG"
+SHARED_KEY_VARIABLE = "SESAMECROSS_SHARED_KEY"
 WATCH_INTERVAL_S = 1.0
 CLEAR_SCREEN = "\x1b[H\x1b[2J"
 
@@ -46,7 +46,7 @@
     )
     online = argparse.ArgumentParser(add_help=False)
     online.add_argument(
-        "--log", help=f"the platform's log; else ${LOG_VARIABLE}"
+        "--log", help=f"the platform's log; else ${LOG_URL_VARIABLE}"
     )
     online.add_argument(
         "--steward",
@@ -56,7 +56,7 @@
     )
     online.add_argument(
         "--shared-key-file",
-        help=f"file with the key of the streams; else ${KEY_VARIABLE}",
+        help=f"file with the key of the streams; else ${SHARED_KEY_VARIABLE}",
     )
     commands = parser.add_subparsers(dest="command", required=True)
     _add_configuration_commands(commands, common, online)
@@ -290,21 +290,21 @@
     # -- endpoints -------------------------------------------------------
 
     def _log_url(self, flags: argparse.Namespace) -> str:
-        url = flags.log or self._environment.get(LOG_VARIABLE)
+        url = flags.log or self._environment.get(LOG_URL_VARIABLE)
         if not url:
             raise errors.ProblemError(
                 errors.Problem(
                     "command line",
                     "--log",
                     "the platform's log is not named",
-                    f"give --log URL or set {LOG_VARIABLE}",
+                    f"give --log URL or set {LOG_URL_VARIABLE}",
                     errors.Kind.MISSING_KEY,
                 )
             )
         return url
 
     def _fleet(self, flags: argparse.Namespace) -> fleet_lib.Fleet:
-        key = self._environment.get(KEY_VARIABLE, "")
+        key = self._environment.get(SHARED_KEY_VARIABLE, "")
         if flags.shared_key_file:
             path = pathlib.Path(flags.shared_key_file)
             key = path.read_text(encoding="utf-8").strip()
@@ -314,7 +314,7 @@
                     "command line",
                     "--shared-key-file",
                     "the key of the system's streams is not given",
-                    f"give --shared-key-file or set {KEY_VARIABLE}",
+                    f"give --shared-key-file or set {SHARED_KEY_VARIABLE}",
                     errors.Kind.MISSING_KEY,
                 )
             )
--- a/sesamecross/ops/fleet/demand_history.py
+++ b/sesamecross/ops/fleet/demand_history.py
@@ -121,7 +121,7 @@
         reported: Mapping[Key, fm.TargetDemand],
         in_use: Mapping[Key, int],
         held: set[str],
-        wants: Mapping[tuple[str, str, str], float],
+        requested_targets: Mapping[tuple[str, str, str], float],
         now_s: float,
     ) -> dict[str, placement_types.ModelDemand]:
         """Returns the demand by model.
@@ -132,7 +132,8 @@
           reported: Demand over all instances, by service and target.
           in_use: Requests in flight by engine and target.
           held: Models that some engine holds or loads.
-          wants: Targets that requests wait for, by service, target and engine.
+          requested_targets: Targets that requests wait for, by service, target
+            and engine.
           now_s: Monotonic time.
         """
         rates: dict[str, float] = {}
@@ -153,7 +154,7 @@
                 )
                 if model == target:
                     waiting[model] = waiting.get(model, 0) + demand_row.waiting
-        for of_service, target, _ in wants:
+        for of_service, target, _ in requested_targets:
             if of_service == service and "/" not in target:
                 waiting[target] = max(1, waiting.get(target, 0))
         self._note_activity(bool(rates or waiting), now_s)
--- a/sesamecross/ops/fleet/directory.py
+++ b/sesamecross/ops/fleet/directory.py
@@ -85,7 +85,7 @@
         """Requests in flight there, from all instances."""
         return self.own_running + self.others_running
 
-    def failing(self, now_s: float) -> float:
+    def failure_share(self, now_s: float) -> float:
         """Returns the recent share of failures over all instances."""
         return self.health.outcomes(now_s).plus(self.others_outcomes).share
 
@@ -101,7 +101,7 @@
 
     def is_down(self, now_s: float) -> bool:
         """Whether it is down for all instances, or nearly all requests fail."""
-        if self.failing(now_s) >= DOWN_FAILURE_SHARE:
+        if self.failure_share(now_s) >= DOWN_FAILURE_SHARE:
             return True
         return self.others_reachability.plus(
             self.reachability.state(now_s)
--- a/sesamecross/ops/fleet/duty_cycle.py
+++ b/sesamecross/ops/fleet/duty_cycle.py
@@ -13,10 +13,10 @@
     """Limits one kind of work: each run is followed by a pause.
 
     Attributes:
-      free_s: When the next run may start.
+      next_start_s: When the next run may start.
     """
 
-    __slots__ = ("free_s", "_pause_factor", "_min_interval_s")
+    __slots__ = ("next_start_s", "_pause_factor", "_min_interval_s")
 
     def __init__(self, pause_factor: float, min_interval_s: float = 0.0):
         """Sets the limits.
@@ -25,18 +25,20 @@
           pause_factor: Length of the pause as a multiple of the run before it.
           min_interval_s: Minimum time between the starts of two runs.
         """
-        self.free_s = 0.0
+        self.next_start_s = 0.0
         self._pause_factor = pause_factor
         self._min_interval_s = min_interval_s
 
     def may_begin(self, now_s: float) -> bool:
         """Whether the next run may start now."""
-        return now_s >= self.free_s
+        return now_s >= self.next_start_s
 
     def done(self, begun_s: float, ended_s: float) -> None:
         """Records when a run started and ended."""
         pause_s = (ended_s - begun_s) * self._pause_factor
-        self.free_s = max(begun_s + self._min_interval_s, ended_s + pause_s)
+        self.next_start_s = max(
+            begun_s + self._min_interval_s, ended_s + pause_s
+        )
 
 
 class Cooldown:
--- a/sesamecross/ops/fleet/duty_cycle_test.py
+++ b/sesamecross/ops/fleet/duty_cycle_test.py
@@ -13,16 +13,16 @@
 ]
 
 
-@pytest.mark.parametrize(("duration_s", "min_interval_s", "free_s"), RUNS)
+@pytest.mark.parametrize(("duration_s", "min_interval_s", "next_start_s"), RUNS)
 def test_work_pauses_in_proportion_to_its_duration(
-    duration_s, min_interval_s, free_s
+    duration_s, min_interval_s, next_start_s
 ):
     one = duty_cycle.DutyCycle(4.0, min_interval_s)
     assert one.may_begin(1.0)
     one.done(1.0, 1.0 + duration_s)
-    assert one.free_s == pytest.approx(free_s)
-    assert not one.may_begin(free_s - 0.001)
-    assert one.may_begin(free_s + 0.001)
+    assert one.next_start_s == pytest.approx(next_start_s)
+    assert not one.may_begin(next_start_s - 0.001)
+    assert one.may_begin(next_start_s + 0.001)
 
 
 def test_a_message_is_sent_again_after_the_interval():
--- a/sesamecross/ops/fleet/engine_choice.py
+++ b/sesamecross/ops/fleet/engine_choice.py
@@ -44,7 +44,7 @@
       read_s: Prefill time of those.
       queued_tokens: Prompt tokens that it has to prefill before.
       running: Requests in flight there.
-      lacks_adapter: The adapter has to be loaded there first.
+      must_load_adapter: The adapter has to be loaded there first.
     """
 
     upstream: directory_lib.KnownUpstream
@@ -53,7 +53,7 @@
     read_s: float
     queued_tokens: int
     running: float
-    lacks_adapter: bool
+    must_load_adapter: bool
 
 
 def estimate(
@@ -79,7 +79,7 @@
         + first_ms / 1000
         + overflow / slots * SLOT_HOLD_S
         + (known.running / slots) ** 2 * FULL_BATCH_PENALTY_S
-        + known.failing(now_s) * FAILURE_PENALTY_S
+        + known.failure_share(now_s) * FAILURE_PENALTY_S
         + (ADAPTER_LOAD_S if must_load_adapter else 0.0)
     )
     read_s = speed.slope * uncached / 1000
--- a/sesamecross/ops/fleet/engine_inventory.py
+++ b/sesamecross/ops/fleet/engine_inventory.py
@@ -33,8 +33,8 @@
       orders: Number of orders that it has accepted.
       models: Models that can serve.
       adapters: Adapters that can serve, as targets.
-      arriving: Targets being loaded, and when they are expected.
-      departing: Models and adapters whose unload was accepted. The engine lists
+      loading: Targets being loaded, and when they are expected.
+      unloading: Models and adapters whose unload was accepted. The engine lists
         them until their last request has ended. It accepts no further order
         while a model is being unloaded; an adapter that is keeps its slot.
       confirmed_adapters: Adapters that the engine certainly holds, with no
@@ -55,8 +55,8 @@
     orders: int = 0
     models: set[str] = dataclasses.field(default_factory=set)
     adapters: set[str] = dataclasses.field(default_factory=set)
-    arriving: dict[str, float] = dataclasses.field(default_factory=dict)
-    departing: set[str] = dataclasses.field(default_factory=set)
+    loading: dict[str, float] = dataclasses.field(default_factory=dict)
+    unloading: set[str] = dataclasses.field(default_factory=set)
     confirmed_adapters: set[str] = dataclasses.field(default_factory=set)
     copies: serving.WeightCopies = serving.WeightCopies()
     is_fully_known: bool = False
@@ -79,23 +79,23 @@
 
     def all_models(self) -> set[str]:
         """Returns the models that are held or being loaded."""
-        return self.models | {t for t in self.arriving if "/" not in t}
+        return self.models | {t for t in self.loading if "/" not in t}
 
     def all_adapters(self) -> set[str]:
         """Returns the adapters that take a slot, with those being unloaded."""
-        arriving = {target for target in self.arriving if "/" in target}
-        return self.adapters | arriving | self.departing_adapters()
+        loading = {target for target in self.loading if "/" in target}
+        return self.adapters | loading | self.unloading_adapters()
 
-    def departing_adapters(self) -> set[str]:
+    def unloading_adapters(self) -> set[str]:
         """Returns the adapters that are unloaded once their requests end."""
-        return {target for target in self.departing if "/" in target}
+        return {target for target in self.unloading if "/" in target}
 
     def is_held_or_loading(self, target: str) -> bool:
         """Whether a target can serve or is being loaded."""
         return (
             target in self.models
             or target in self.adapters
-            or target in self.arriving
+            or target in self.loading
         )
 
     # -- entries and reports -------------------------------------------
@@ -111,20 +111,20 @@
         self.last_entry = entry
         self.copies = entry.copies
         listed = engine_state.targets_of(entry.models)
-        for target in listed & set(self.arriving):
+        for target in listed & set(self.loading):
             self._mark_loaded(target)
         models = {target for target in listed if "/" not in target}
-        if models - self.departing != self.models:
+        if models - self.unloading != self.models:
             self.is_fully_known = False
 
     def apply_report(
-        self, report: serving.EngineReport, asked_s: float, now_s: float
+        self, report: serving.EngineReport, requested_s: float, now_s: float
     ) -> None:
         """Applies a report that the engine sent on request.
 
         Args:
           report: The report.
-          asked_s: When it was requested.
+          requested_s: When it was requested.
           now_s: Monotonic time.
         """
         if report.born_ms and report.born_ms != self.born_ms:
@@ -132,7 +132,7 @@
             self.is_fully_known = False
             return
         self.copies = report.copies
-        reflects_last_order = asked_s >= self.reports_valid_from_s
+        reflects_last_order = requested_s >= self.reports_valid_from_s
         if report.orders < self.orders and not reflects_last_order:
             # The report may be older than the last accepted order.
             return
@@ -151,11 +151,11 @@
         While an order is in progress, the model that it loads is not listed.
         """
         self.orders = report.orders
-        self.departing.clear()
+        self.unloading.clear()
         self.confirmed_adapters.clear()
         self.models = {target for target in listed if "/" not in target}
         self.adapters = {target for target in listed if "/" in target}
-        self.arriving = dict.fromkeys(
+        self.loading = dict.fromkeys(
             report.loading_adapters - self.adapters, now_s
         )
         self.is_fully_known = not report.is_busy
@@ -171,31 +171,31 @@
         Adapters are always complete: listed as held or as being loaded.
         """
         if not report.is_busy:
-            self.departing = self.departing_adapters()
-        unlisted = self.departing_adapters() - listed
-        self.departing -= unlisted
-        listed = {target for target in listed if not self._is_departing(target)}
+            self.unloading = self.unloading_adapters()
+        unlisted = self.unloading_adapters() - listed
+        self.unloading -= unlisted
+        listed = {target for target in listed if not self._is_unloading(target)}
         models = {target for target in listed if "/" not in target}
-        for target in models & set(self.arriving):
+        for target in models & set(self.loading):
             self._mark_loaded(target)
         self.models |= models
         self.adapters = listed - models
-        arriving = dict.fromkeys(report.loading_adapters - self.adapters, now_s)
+        loading = dict.fromkeys(report.loading_adapters - self.adapters, now_s)
         if report.is_busy or not self.is_fully_known:
-            arriving = self.arriving | arriving
-        self.arriving = {
+            loading = self.loading | loading
+        self.loading = {
             target: at_s
-            for target, at_s in arriving.items()
+            for target, at_s in loading.items()
             if target not in self.models and target not in self.adapters
         }
         self.is_fully_known = self.is_fully_known or not report.is_busy
 
-    def _is_departing(self, target: str) -> bool:
+    def _is_unloading(self, target: str) -> bool:
         model = target.partition("/")[0]
-        return target in self.departing or model in self.departing
+        return target in self.unloading or model in self.unloading
 
     def _mark_loaded(self, target: str) -> None:
-        self.loaded_s[target] = self.arriving.pop(target, 0.0)
+        self.loaded_s[target] = self.loading.pop(target, 0.0)
         if "/" in target:
             self.adapters.add(target)
         else:
@@ -217,15 +217,15 @@
         self.orders += 1
         # An engine accepts an order only after completing the previous one for
         # a model.
-        self.departing = self.departing_adapters()
+        self.unloading = self.unloading_adapters()
         self.reports_valid_from_s = now_s + REPORT_LAG_S
         if is_load:
-            self.arriving[target] = eta_s
+            self.loading[target] = eta_s
             if "/" in target:
                 self.confirmed_adapters.add(target)
             return
         self._remove(target)
-        self.departing.add(target)
+        self.unloading.add(target)
 
     def order_already_done(
         self, is_load: bool, target: str, now_s: float
@@ -238,23 +238,23 @@
         """
         if not is_load and target in self.confirmed_adapters:
             self.order_accepted(False, target, now_s, now_s)
-            self.departing.discard(target)
+            self.unloading.discard(target)
             return
         self.is_fully_known = False
         self.reports_valid_from_s = now_s + REPORT_LAG_S
         if is_load:
-            self.arriving.pop(target, None)
+            self.loading.pop(target, None)
             (self.adapters if "/" in target else self.models).add(target)
         else:
             self._remove(target)
             if "/" in target:
-                self.departing.add(target)
+                self.unloading.add(target)
 
     def _remove(self, target: str) -> None:
         """Removes a target, and with a model its adapters."""
         self.models.discard(target)
         prefix = f"{target}/"
-        for held in (self.adapters, self.departing, self.confirmed_adapters):
+        for held in (self.adapters, self.unloading, self.confirmed_adapters):
             removed = {
                 held_target
                 for held_target in held
@@ -274,7 +274,7 @@
         """
         done = [
             target
-            for target, at_s in self.arriving.items()
+            for target, at_s in self.loading.items()
             if "/" in target and at_s <= now_s
         ]
         for target in done:
--- a/sesamecross/ops/fleet/engine_inventory_test.py
+++ b/sesamecross/ops/fleet/engine_inventory_test.py
@@ -23,7 +23,7 @@
 
 
 def report(
-    orders=0, is_busy=False, models=(), adapters=(), arriving=(), born=1
+    orders=0, is_busy=False, models=(), adapters=(), loading_adapters=(), born=1
 ) -> serving.EngineReport:
     held = tuple(
         serving.ResidentModel(
@@ -41,7 +41,7 @@
         orders,
         is_busy,
         held,
-        frozenset(arriving),
+        frozenset(loading_adapters),
         serving.WeightCopies(),
         0,
         0,
@@ -66,7 +66,7 @@
     )
     inventory.apply_entry(entry)
     inventory.apply_report(
-        report(orders=1, is_busy=True), asked_s=0.6, now_s=0.7
+        report(orders=1, is_busy=True), requested_s=0.6, now_s=0.7
     )
     assert "large" in inventory.models
     assert inventory.used_mb(spec()) == SIZES["large"]
@@ -92,7 +92,7 @@
         serving.Upstream("e", "s", "a:1", "z", 8, False, 1, listed)
     )
     if received is not None:
-        inventory.apply_report(received, asked_s=1.0, now_s=1.1)
+        inventory.apply_report(received, requested_s=1.0, now_s=1.1)
     assert inventory.has_reported is has_reported
     assert inventory.models == ({"small"} if has_reported else set())
 
@@ -130,7 +130,9 @@
 ):
     inventory = answered_inventory()
     inventory.apply_report(
-        received, asked_s=REPORTS_VALID_FROM_S, now_s=REPORTS_VALID_FROM_S + 0.1
+        received,
+        requested_s=REPORTS_VALID_FROM_S,
+        now_s=REPORTS_VALID_FROM_S + 0.1,
     )
     assert inventory.is_fully_known is fully_known
     assert inventory.models == models
@@ -143,7 +145,7 @@
     received = report(orders=1, models=["other"])
     inventory.apply_report(
         received,
-        asked_s=REPORTS_VALID_FROM_S - 0.01,
+        requested_s=REPORTS_VALID_FROM_S - 0.01,
         now_s=REPORTS_VALID_FROM_S + 0.1,
     )
     assert (inventory.orders, inventory.models) == (2, {"middle"})
@@ -159,10 +161,10 @@
 
 
 @pytest.mark.parametrize(
-    ("target", "is_confirmed", "orders", "departing", "fully_known"), UNLOADS
+    ("target", "is_confirmed", "orders", "unloading", "fully_known"), UNLOADS
 )
 def test_an_unload_already_done_counts_only_if_confirmed(
-    target, is_confirmed, orders, departing, fully_known
+    target, is_confirmed, orders, unloading, fully_known
 ):
     """Guards against counting an order that changed nothing."""
     inventory = engine_inventory.EngineInventory(
@@ -175,7 +177,7 @@
         inventory.order_unanswered("small/a1")
     inventory.order_already_done(False, target, 1.0)
     assert inventory.orders == orders
-    assert inventory.departing == departing
+    assert inventory.unloading == unloading
     assert inventory.is_fully_known is fully_known
     assert not inventory.is_held_or_loading(target)
 
@@ -194,7 +196,7 @@
         (["small/a2"], {"small/a2"}),
     ):
         received = report(orders=4, models=["small"], adapters=listed)
-        inventory.apply_report(received, asked_s=1.0, now_s=1.0)
+        inventory.apply_report(received, requested_s=1.0, now_s=1.0)
         assert inventory.all_adapters() == in_slots
         assert inventory.adapters == {"small/a2"}
         assert inventory.used_mb(spec()) == SIZES["small"] + len(in_slots)
@@ -268,7 +270,7 @@
                 for name, size in SIZES.items()
                 if size <= free_mb
                 and not inventory.is_held_or_loading(name)
-                and name not in inventory.departing
+                and name not in inventory.unloading
             ]
             if len(inventory.all_adapters()) < ADAPTER_SLOTS and free_mb >= 1:
                 candidates += [
@@ -276,7 +278,7 @@
                     for name in inventory.models
                     for number in (1, 2)
                     if not inventory.is_held_or_loading(f"{name}/a{number}")
-                    and f"{name}/a{number}" not in inventory.departing
+                    and f"{name}/a{number}" not in inventory.unloading
                 ]
         else:
             candidates = sorted(inventory.models | inventory.adapters)
@@ -359,8 +361,8 @@
     )
     inventory.models.add("small")
     inventory.adapters |= {"small/a1", "small/a2"}
-    received = report(orders=2, models=["small"], arriving=["small/a2"])
-    inventory.apply_report(received, asked_s=1.0, now_s=1.0)
+    received = report(orders=2, models=["small"], loading_adapters=["small/a2"])
+    inventory.apply_report(received, requested_s=1.0, now_s=1.0)
     assert not inventory.is_held_or_loading("small/a1")
     assert inventory.all_adapters() == {"small/a2"}
 
--- a/sesamecross/ops/fleet/engine_state.py
+++ b/sesamecross/ops/fleet/engine_state.py
@@ -30,9 +30,9 @@
     """State of one incarnation of an engine.
 
     Attributes:
-      place: What the engine holds by the lease holder's latest message, or
+      placement: What the engine holds by the lease holder's latest message, or
         None.
-      place_s: When that message arrived.
+      placement_received_s: When that message arrived.
       absent: When the engine last responded that it does not hold a target.
       own_prompt_tokens, others_prompt_tokens: Prompt tokens of requests that
         were sent and have no event yet.
@@ -40,8 +40,8 @@
       cache: Prompt prefixes that the engine probably caches.
     """
 
-    place: fm.EnginePlacement | None = None
-    place_s: float = 0.0
+    placement: fm.EnginePlacement | None = None
+    placement_received_s: float = 0.0
     absent: dict[str, float] = dataclasses.field(default_factory=dict)
     own_prompt_tokens: int = 0
     others_prompt_tokens: int = 0
@@ -52,20 +52,22 @@
         default_factory=prefix_cache.PrefixCache
     )
 
-    def apply_placement(self, place: fm.EnginePlacement, now_s: float) -> None:
+    def apply_placement(
+        self, placement: fm.EnginePlacement, now_s: float
+    ) -> None:
         """Applies the lease holder's information, which arrives in order.
 
         The count of orders decreases when the holder has corrected its
         inventory.
         """
-        known = self.place
+        known = self.placement
         is_same_incarnation = (
-            known is not None and known.born_ms == place.born_ms
+            known is not None and known.born_ms == placement.born_ms
         )
-        if is_same_incarnation and place.orders != known.orders:
+        if is_same_incarnation and placement.orders != known.orders:
             self.absent.clear()
-        self.place = place
-        self.place_s = now_s
+        self.placement = placement
+        self.placement_received_s = now_s
 
     def targets(self, entry: serving.Upstream, now_s: float) -> set[str]:
         """Returns the models and adapters that can serve there.
@@ -75,14 +77,14 @@
           now_s: Monotonic time.
         """
         own = targets_of(entry.models)
-        place = self.place
-        is_old = now_s - self.place_s > PLACEMENT_TTL_S
-        if place is None or place.born_ms != entry.born_ms or is_old:
+        placement = self.placement
+        is_old = now_s - self.placement_received_s > PLACEMENT_TTL_S
+        if placement is None or placement.born_ms != entry.born_ms or is_old:
             return own
         # A target that the holder lists as loading and the engine lists as held
         # has been loaded since.
-        arriving = {target for target, _ in place.arriving}
-        return set(place.targets) | (own & arriving)
+        loading = {target for target, _ in placement.arriving}
+        return set(placement.targets) | (own & loading)
 
     def holds(self, entry: serving.Upstream, target: str, now_s: float) -> bool:
         """Whether a target can serve there."""
@@ -93,11 +95,11 @@
 
     def ready_at_s(self, target: str) -> float | None:
         """Returns when a target will be loaded, or None if it is unplanned."""
-        if self.place is None:
+        if self.placement is None:
             return None
-        for name, eta_s in (*self.place.arriving, *self.place.planned):
+        for name, eta_s in (*self.placement.arriving, *self.placement.planned):
             if name == target:
-                return self.place_s + eta_s
+                return self.placement_received_s + eta_s
         return None
 
     def speed(self, model: str) -> estimates.LinearFit:
--- a/sesamecross/ops/fleet/pacer.py
+++ b/sesamecross/ops/fleet/pacer.py
@@ -73,12 +73,12 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Ask:
+class _WaitingRequest:
     key: Key
     tokens: int
     due_s: float
     until_s: float
-    asked_s: float
+    requested_s: float
 
     @property
     def charged_tokens(self) -> float:
@@ -122,7 +122,7 @@
 
     def __init__(self) -> None:
         self._prefilling: dict[Key, tuple[int, float]] = {}
-        self._waiting: dict[Key, _Ask] = {}
+        self._waiting: dict[Key, _WaitingRequest] = {}
         self._pending_tokens = 0
         # Tokens granted ahead of the rate.
         self._level = 0.0
@@ -138,7 +138,7 @@
         """Whether no prompts are waiting or being prefilled."""
         return not self._waiting and not self._prefilling
 
-    def ask(
+    def request(
         self,
         key: Key,
         tokens: int,
@@ -164,9 +164,11 @@
             return Decisions((key,), ())
         if key not in self._waiting:
             self._decay(now_s)
-            ask = _Ask(key, tokens, due_s, until_s, now_s)
-            self._waiting[key] = ask
-            self._requested_rate += ask.charged_tokens / RATE_TIME_CONSTANT_S
+            request = _WaitingRequest(key, tokens, due_s, until_s, now_s)
+            self._waiting[key] = request
+            self._requested_rate += (
+                request.charged_tokens / RATE_TIME_CONSTANT_S
+            )
         return self.grant(batch, now_s)
 
     def prompt_read(self, key: Key) -> None:
@@ -178,12 +180,16 @@
 
     def waiting(self, now_s: float) -> tuple[Key, ...]:
         """Returns the waiting requests in the order of their turns."""
-        return tuple(ask.key for ask in self._in_order(now_s))
+        return tuple(request.key for request in self._in_order(now_s))
 
-    def _in_order(self, now_s: float) -> list[_Ask]:
+    def _in_order(self, now_s: float) -> list[_WaitingRequest]:
         return sorted(
             self._waiting.values(),
-            key=lambda ask: (ask.due_s < now_s, ask.due_s, ask.key),
+            key=lambda request: (
+                request.due_s < now_s,
+                request.due_s,
+                request.key,
+            ),
         )
 
     def grant(self, batch: Batch, now_s: float) -> Decisions:
@@ -193,22 +199,24 @@
         granted = []
         free_slots = self._free_slots(batch, now_s)
         queue = self._in_order(now_s)
-        for ask in queue:
-            if len(granted) >= free_slots or not self._has_room(ask):
+        for request in queue:
+            if len(granted) >= free_slots or not self._has_room(request):
                 break
-            del self._waiting[ask.key]
-            self._prefilling[ask.key] = (ask.tokens, now_s)
-            self._pending_tokens += ask.tokens
-            self._level += ask.tokens
-            self._granted_rate += ask.charged_tokens / RATE_TIME_CONSTANT_S
-            granted.append(ask.key)
+            del self._waiting[request.key]
+            self._prefilling[request.key] = (request.tokens, now_s)
+            self._pending_tokens += request.tokens
+            self._level += request.tokens
+            self._granted_rate += request.charged_tokens / RATE_TIME_CONSTANT_S
+            granted.append(request.key)
         self._is_full = len(granted) >= free_slots
         refused = self._too_late(queue[len(granted) :], now_s)
         for key in refused:
             del self._waiting[key]
         return Decisions(tuple(granted), tuple(refused))
 
-    def _too_late(self, queue: list[_Ask], now_s: float) -> list[Key]:
+    def _too_late(
+        self, queue: list[_WaitingRequest], now_s: float
+    ) -> list[Key]:
         """Returns the waiting requests, given in order, whose turn is too late.
 
         A request that will be late yields to all future ones that will not be,
@@ -220,14 +228,14 @@
         spare = max(0.0, rate - self._requested_rate)
         ahead = self._level
         refused = []
-        for ask in queue:
+        for request in queue:
             starts_s = now_s + ahead / rate
-            if starts_s > ask.due_s:
+            if starts_s > request.due_s:
                 starts_s = now_s + ahead / spare if spare else math.inf
-            if starts_s > ask.until_s:
-                refused.append(ask.key)
+            if starts_s > request.until_s:
+                refused.append(request.key)
             else:
-                ahead += ask.charged_tokens
+                ahead += request.charged_tokens
         return refused
 
     def _decay(self, now_s: float) -> None:
@@ -248,13 +256,14 @@
         limit = max(1, min(MAX_STREAMS, int(batch.slots * MAX_BATCH_SHARE)))
         return max(0, limit - int(batch.running) - unreported)
 
-    def _has_room(self, ask: _Ask) -> bool:
+    def _has_room(self, request: _WaitingRequest) -> bool:
         if (
             self._prefilling
-            and self._pending_tokens + ask.charged_tokens > MAX_PENDING_TOKENS
+            and self._pending_tokens + request.charged_tokens
+            > MAX_PENDING_TOKENS
         ):
             return False
-        return self._level + ask.charged_tokens <= BURST_TOKENS
+        return self._level + request.charged_tokens <= BURST_TOKENS
 
     def next_check_s(self, now_s: float) -> float | None:
         """Returns when to check again, or None if no requests wait."""
@@ -269,6 +278,6 @@
         for key, (_, at_s) in list(self._prefilling.items()):
             if now_s - at_s > PREFILL_TIMEOUT_S:
                 self.prompt_read(key)
-        for key, ask in list(self._waiting.items()):
-            if now_s - ask.asked_s > MAX_WAIT_S:
+        for key, request in list(self._waiting.items()):
+            if now_s - request.requested_s > MAX_WAIT_S:
                 del self._waiting[key]
--- a/sesamecross/ops/fleet/pacer_test.py
+++ b/sesamecross/ops/fleet/pacer_test.py
@@ -14,19 +14,19 @@
     return ("instance", number)
 
 
-def simulate(pacer, asks, until_s, step_s=0.002, read_s=0.05, runs_s=0.0):
+def simulate(pacer, requests, until_s, step_s=0.002, read_s=0.05, runs_s=0.0):
     """Simulates requests; returns when each was granted and when refused.
 
     Args:
       pacer: The pacer.
-      asks: Arrival, tokens, time to spare and patience of each.
+      requests: Arrival, tokens, time to spare and waiting limit of each.
       until_s: Duration of the simulation.
       step_s: Interval between two checks.
       read_s: Time until a granted prompt is prefilled.
       runs_s: How long a stream then takes a slot in a batch of 64.
     """
     granted, refused, prefilling = {}, {}, []
-    queue = list(enumerate(asks))
+    queue = list(enumerate(requests))
     now_s = 0.0
 
     def batch():
@@ -39,7 +39,7 @@
         while queue and queue[0][1][0] <= now_s:
             number, (at_s, tokens, spare_s, patience_s) = queue.pop(0)
             decisions.append(
-                pacer.ask(
+                pacer.request(
                     key(number),
                     tokens,
                     at_s + spare_s,
@@ -75,10 +75,10 @@
 
 def test_earliest_due_goes_first_and_late_ones_go_last():
     pacer = pacer_lib.Pacer()
-    pacer.ask(key(0), BURST, 1.0, 2.0, EMPTY_BATCH, 0.0)
-    pacer.ask(key(1), BURST, 0.9, 2.0, EMPTY_BATCH, 0.0)
-    pacer.ask(key(2), BURST, 0.3, 2.0, EMPTY_BATCH, 0.0)
-    pacer.ask(key(3), BURST, -0.1, 2.0, EMPTY_BATCH, 0.0)
+    pacer.request(key(0), BURST, 1.0, 2.0, EMPTY_BATCH, 0.0)
+    pacer.request(key(1), BURST, 0.9, 2.0, EMPTY_BATCH, 0.0)
+    pacer.request(key(2), BURST, 0.3, 2.0, EMPTY_BATCH, 0.0)
+    pacer.request(key(3), BURST, -0.1, 2.0, EMPTY_BATCH, 0.0)
     order = []
     for step in range(100):
         order += pacer.grant(EMPTY_BATCH, step * 0.01).granted
@@ -88,10 +88,10 @@
 
 def test_a_request_whose_grant_was_lost_is_granted_again():
     pacer = pacer_lib.Pacer()
-    assert pacer.ask(key(0), 100, 1.0, 2.0, EMPTY_BATCH, 0.0).granted == (
+    assert pacer.request(key(0), 100, 1.0, 2.0, EMPTY_BATCH, 0.0).granted == (
         key(0),
     )
-    assert pacer.ask(key(0), 100, 1.0, 2.0, EMPTY_BATCH, 0.1).granted == (
+    assert pacer.request(key(0), 100, 1.0, 2.0, EMPTY_BATCH, 0.1).granted == (
         key(0),
     )
 
@@ -104,25 +104,25 @@
     refused only when its caller was about to leave.
     """
     interval_s = BURST / pacer_lib.PREFILL_TOKENS_PER_S / 2
-    asks = [(n * interval_s, BURST, 0.4, 1.7) for n in range(400)]
+    requests = [(n * interval_s, BURST, 0.4, 1.7) for n in range(400)]
     granted, refused = simulate(
-        pacer_lib.Pacer(), asks, until_s=400 * interval_s
+        pacer_lib.Pacer(), requests, until_s=400 * interval_s
     )
-    waited_s = [refused[n] - asks[n][0] for n in refused]
+    waited_s = [refused[n] - requests[n][0] for n in refused]
     assert len(refused) > 120
     assert max(waited_s) < 0.6
     # No refusal is unnecessary: the engine prefills at its full rate.
     capacity = 400 * interval_s * pacer_lib.PREFILL_TOKENS_PER_S / BURST
     assert len(granted) > 0.9 * capacity
-    on_time = [n for n in granted if granted[n] - asks[n][0] <= 0.4]
+    on_time = [n for n in granted if granted[n] - requests[n][0] <= 0.4]
     assert len(on_time) > 0.8 * len(granted)
 
 
 def test_a_short_burst_makes_some_late_and_refuses_none():
     """A burst of 1 s of prefill: the last requests are late but served."""
     count = int(pacer_lib.PREFILL_TOKENS_PER_S / BURST)
-    asks = [(0.0, BURST, 0.4, 1.7)] * count
-    granted, refused = simulate(pacer_lib.Pacer(), asks, until_s=3.0)
+    requests = [(0.0, BURST, 0.4, 1.7)] * count
+    granted, refused = simulate(pacer_lib.Pacer(), requests, until_s=3.0)
     assert not refused
     assert len(granted) == count
 
@@ -134,9 +134,9 @@
     each brought a stream of 2 s; the batch filled up, steps grew longer, and
     all 64 streams in it were late, as were those that joined them.
     """
-    asks = [(n * 0.03, 600, 0.4, 1.7) for n in range(400)]
+    requests = [(n * 0.03, 600, 0.4, 1.7) for n in range(400)]
     granted, refused = simulate(
-        pacer_lib.Pacer(), asks, until_s=12.0, step_s=0.01, runs_s=2.0
+        pacer_lib.Pacer(), requests, until_s=12.0, step_s=0.01, runs_s=2.0
     )
     limit = pacer_lib.MAX_STREAMS
     for at_s in granted.values():
@@ -146,6 +146,6 @@
         assert len(concurrent) <= limit + 1
     # It stays full, and requests without a slot in it are refused early.
     assert len(granted) > 0.85 * limit * 12.0 / 2.05
-    late_s = [refused[n] - asks[n][0] for n in refused if n > 200]
+    late_s = [refused[n] - requests[n][0] for n in refused if n > 200]
     assert late_s
     assert max(late_s) < 0.6
--- a/sesamecross/ops/fleet/placement_draft.py
+++ b/sesamecross/ops/fleet/placement_draft.py
@@ -203,7 +203,7 @@
     missing_mb = inventory.used_mb(inputs.spec) + inputs.size(name)
     missing_mb -= inputs.spec.weights_mb
     wait_s = 0.0
-    if any("/" not in target for target in inventory.arriving):
+    if any("/" not in target for target in inventory.loading):
         wait_s += 1.0
     if missing_mb <= 0:
         return wait_s
@@ -238,7 +238,7 @@
     inputs = draft.inputs
     inventory = draft.engines[instance_id].inventory
     loaded_s = inventory.loaded_s.get(name, -MIN_STAY_S)
-    if name in inventory.arriving or inputs.now_s - loaded_s < MIN_STAY_S:
+    if name in inventory.loading or inputs.now_s - loaded_s < MIN_STAY_S:
         return None
     demand = inputs.demand_for(name)
     others = [
--- a/sesamecross/ops/fleet/placement_steps.py
+++ b/sesamecross/ops/fleet/placement_steps.py
@@ -251,10 +251,10 @@
 
 
 def _order_adapters(builder: _StepBuilder) -> None:
-    for want in builder.inputs.wants:
-        engine = builder.engines.get(want.instance_id)
+    for request in builder.inputs.adapter_requests:
+        engine = builder.engines.get(request.instance_id)
         if engine is not None and builder.may_order(engine):
-            _order_adapter(builder, engine, want.target)
+            _order_adapter(builder, engine, request.target)
 
 
 def _order_adapter(
@@ -266,7 +266,7 @@
     if model is None or model.name not in inventory.models:
         return
     # An adapter being unloaded has to be gone before it can be loaded again.
-    if inventory.is_held_or_loading(target) or target in inventory.departing:
+    if inventory.is_held_or_loading(target) or target in inventory.unloading:
         return
     free_mb = spec.weights_mb - inventory.used_mb(spec)
     is_full = len(inventory.all_adapters()) >= spec.adapter_slots
@@ -294,9 +294,9 @@
     """
     inventory = engine.inventory
     wanted = {
-        want.target
-        for want in builder.inputs.wants
-        if want.instance_id == engine.name
+        request.target
+        for request in builder.inputs.adapter_requests
+        if request.instance_id == engine.name
     }
     idle = []
     for target in inventory.adapters - wanted:
--- a/sesamecross/ops/fleet/placement_steps_test.py
+++ b/sesamecross/ops/fleet/placement_steps_test.py
@@ -137,7 +137,7 @@
         spec=dataclasses.replace(
             spec(), adapter_slots=2, models={"m": adapters}
         ),
-        wants=(data.AdapterWant("e1", "m/a3"),),
+        adapter_requests=(data.AdapterRequest("e1", "m/a3"),),
         used_s={("e1", f"m/{k}"): v for k, v in used_s.items()},
     )
     got = placement_steps.steps(given, given.target)
--- a/sesamecross/ops/fleet/placement_types.py
+++ b/sesamecross/ops/fleet/placement_types.py
@@ -78,7 +78,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AdapterWant:
+class AdapterRequest:
     """An adapter that requests wait for at an engine."""
 
     instance_id: str
@@ -99,7 +99,7 @@
       in_use: Requests in flight by engine and target.
       withdrawn: By engine and model, since when it gets no new requests there.
       target: The models that each engine should hold by the last plan.
-      wants: Adapters that requests wait for.
+      adapter_requests: Adapters that requests wait for.
       store_loads: How many loads from the weight store may start now.
       is_demand_known: Whether all instances have reported their demand.
       are_engines_known: Whether no engine has appeared recently. A new one may
@@ -114,7 +114,7 @@
     in_use: Mapping[tuple[str, str], int]
     withdrawn: Mapping[tuple[str, str], float]
     target: PlacementTarget
-    wants: tuple[AdapterWant, ...]
+    adapter_requests: tuple[AdapterRequest, ...]
     store_loads: int
     is_demand_known: bool
     are_engines_known: bool
--- a/sesamecross/ops/fleet/reachability.py
+++ b/sesamecross/ops/fleet/reachability.py
@@ -35,17 +35,17 @@
 
     Attributes:
       streaming: This instance's streams there that have begun.
-      heard_s: When the last event or response arrived.
+      last_response_s: When the last event or response arrived.
     """
 
     streaming: int = 0
-    heard_s: float = -CONTACT_TTL_S
+    last_response_s: float = -CONTACT_TTL_S
     _silent_s: float = -FAILURE_TTL_S
     _refused_s: float = -FAILURE_TTL_S
 
     def record_contact(self, now_s: float) -> None:
         """Records an event or a response."""
-        self.heard_s = now_s
+        self.last_response_s = now_s
 
     def record_refusal(self, now_s: float) -> None:
         """Records a refused connection."""
@@ -60,16 +60,17 @@
         if self._is_current(self._refused_s, now_s):
             return State.REFUSED
         is_quiet = (
-            self.streaming > 0 and now_s - self.heard_s > SILENCE_TIMEOUT_S
+            self.streaming > 0
+            and now_s - self.last_response_s > SILENCE_TIMEOUT_S
         )
         if is_quiet or self._is_current(self._silent_s, now_s):
             return State.SILENT
-        if now_s - self.heard_s < CONTACT_TTL_S:
+        if now_s - self.last_response_s < CONTACT_TTL_S:
             return State.HEARS
         return State.UNKNOWN
 
     def _is_current(self, at_s: float, now_s: float) -> bool:
-        return at_s > self.heard_s and now_s - at_s < FAILURE_TTL_S
+        return at_s > self.last_response_s and now_s - at_s < FAILURE_TTL_S
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/sesamecross/ops/fleet/roster.py
+++ b/sesamecross/ops/fleet/roster.py
@@ -27,7 +27,7 @@
     """An instance, and when it was last heard from."""
 
     member: fm.Member
-    heard_s: float | None
+    last_heartbeat_s: float | None
 
 
 class Roster:
@@ -46,7 +46,7 @@
             if member.name != self.me.name:
                 self._update(member, None)
 
-    def heard(self, member: fm.Member, now_s: float) -> bool:
+    def on_heartbeat(self, member: fm.Member, now_s: float) -> bool:
         """Records a message from an instance, or a hub's report that it lives.
 
         Returns:
@@ -56,18 +56,20 @@
             return False
         return self._update(member, now_s)
 
-    def _update(self, member: fm.Member, heard_s: float | None) -> bool:
+    def _update(
+        self, member: fm.Member, last_heartbeat_s: float | None
+    ) -> bool:
         known = self._known.get(member.name)
         if known is None:
-            self._known[member.name] = KnownMember(member, heard_s)
+            self._known[member.name] = KnownMember(member, last_heartbeat_s)
             return True
         if member.incarnation < known.member.incarnation:
             return False
         if member.incarnation > known.member.incarnation:
-            known.heard_s = None
+            known.last_heartbeat_s = None
         known.member = member
-        if heard_s is not None:
-            known.heard_s = heard_s
+        if last_heartbeat_s is not None:
+            known.last_heartbeat_s = last_heartbeat_s
         return True
 
     def get(self, name: str) -> fm.Member | None:
@@ -82,8 +84,8 @@
         known = self._known.get(name)
         return (
             known is not None
-            and known.heard_s is not None
-            and now_s - known.heard_s < LIVENESS_TIMEOUT_S
+            and known.last_heartbeat_s is not None
+            and now_s - known.last_heartbeat_s < LIVENESS_TIMEOUT_S
         )
 
     def alive(self, now_s: float) -> list[fm.Member]:
@@ -111,7 +113,7 @@
             if known.member.zone == zone
             and (
                 self.is_alive(name, now_s)
-                or (is_early and known.heard_s is None)
+                or (is_early and known.last_heartbeat_s is None)
             )
         ]
         if zone == self.me.zone:
--- a/sesamecross/ops/fleet/service_choice.py
+++ b/sesamecross/ops/fleet/service_choice.py
@@ -51,7 +51,7 @@
     return (
         location.round_trip_s(known.entry.zone)
         + duration_s * (1 + overflow / slots)
-        + known.failing(now_s) * FAILURE_PENALTY_S
+        + known.failure_share(now_s) * FAILURE_PENALTY_S
     )
 
 
--- a/sesamecross/platform/catalog.py
+++ b/sesamecross/platform/catalog.py
@@ -121,7 +121,7 @@
 _upstream_decoder = msgspec.json.Decoder(_WireUpstream)
 
 
-def configuration(value: bytes) -> serving.Configuration | None:
+def decode_configuration(value: bytes) -> serving.Configuration | None:
     """Decodes a configuration; returns None if it is invalid."""
     try:
         wire = untrusted.decode(_configuration_decoder, value)
@@ -200,7 +200,7 @@
     )
 
 
-def upstream(instance_id: str, value: bytes) -> serving.Upstream | None:
+def decode_upstream(instance_id: str, value: bytes) -> serving.Upstream | None:
     """Decodes an upstream's entry; returns None if it is invalid."""
     try:
         wire = untrusted.decode(_upstream_decoder, value)
--- a/sesamecross/platform/catalog_test.py
+++ b/sesamecross/platform/catalog_test.py
@@ -105,11 +105,11 @@
 
 
 def test_valid_records_are_decoded():
-    configuration = catalog.configuration(_encode(CONFIGURATION))
+    configuration = catalog.decode_configuration(_encode(CONFIGURATION))
     assert configuration.version == 3
     assert configuration.routes[0].host == "h.example"
-    assert configuration.limits.head_bytes == 100
-    upstream = catalog.upstream("u1", _encode(UPSTREAM))
+    assert configuration.limits.max_header_bytes == 100
+    upstream = catalog.decode_upstream("u1", _encode(UPSTREAM))
     assert (upstream.address, upstream.slots) == ("10.0.0.9:80", 4)
     assert upstream.models[0].adapters == {"a1"}
 
@@ -141,7 +141,7 @@
     was written. A deeply nested record made the reader fail, which then
     continued after it; eleven of these in half a minute also ended the process.
     """
-    assert catalog.configuration(value) is None
+    assert catalog.decode_configuration(value) is None
 
 
 INVALID_UPSTREAMS = [
@@ -177,14 +177,14 @@
     An entry of another writer had a port that only looks like a number, or no
     slots. It is skipped; the other entries stay valid.
     """
-    assert catalog.upstream("u1", value) is None
+    assert catalog.decode_upstream("u1", value) is None
 
 
 @settings(max_examples=500, deadline=None, derandomize=True)
 @given(value=records(CONFIGURATION))
 def test_no_configuration_makes_the_decoder_raise(value):
     """A damaged configuration is skipped or decodes to values in range."""
-    configuration = catalog.configuration(value)
+    configuration = catalog.decode_configuration(value)
     if configuration is not None:
         assert 0 <= configuration.version < 2**63
         for route in configuration.routes:
@@ -195,7 +195,7 @@
 @given(value=records(UPSTREAM))
 def test_no_entry_makes_the_decoder_raise(value):
     """A damaged entry is skipped or decodes to values in range."""
-    upstream = catalog.upstream("u1", value)
+    upstream = catalog.decode_upstream("u1", value)
     if upstream is not None:
         assert upstream.slots >= 1
         assert 0 <= upstream.born_ms < 2**63
--- a/sesamecross/platform/program.py
+++ b/sesamecross/platform/program.py
@@ -31,8 +31,8 @@
         store_codec.CONFIGURATION_KEY,
         store_codec.UPSTREAMS_TOPIC,
         store_codec.OWN_TOPIC_PREFIX,
-        catalog.configuration,
-        catalog.upstream,
+        catalog.decode_configuration,
+        catalog.decode_upstream,
         METRICS_PORT,
     )
 
@@ -58,7 +58,7 @@
         print(loaded.failure(), file=sys.stderr)
         return application.exit_code_without_start(pending_signals)
     instance = loaded.unwrap()
-    output = bounded_output.BoundedOutput.of_stream(sys.stdout)
+    output = bounded_output.BoundedOutput.from_stream(sys.stdout)
     logs.configure(log_level, "json", output, instance=instance.name)
     gateway = app.GatewayApp.from_config(
         instance, adapter(), settings.SettingsFile(path)
--- a/sesamecross/platform/program_test.py
+++ b/sesamecross/platform/program_test.py
@@ -49,7 +49,7 @@
     monkeypatch.setattr(time, "sleep", write)
     monkeypatch.setattr(logs, "configure", lambda *_, **__: None)
     monkeypatch.setattr(
-        bounded_output.BoundedOutput, "of_stream", lambda _: None
+        bounded_output.BoundedOutput, "from_stream", lambda _: None
     )
     monkeypatch.setattr(app.GatewayApp, "from_config", _start)
     monkeypatch.setenv(settings.BOOT_VARIABLE, str(path))
--- a/sesamecross/runtime/bounded_output.py
+++ b/sesamecross/runtime/bounded_output.py
@@ -64,7 +64,7 @@
         self._dropped = 0
 
     @classmethod
-    def of_stream(
+    def from_stream(
         cls, stream: TextIO | None, is_shared: bool = False
     ) -> "BoundedOutput":
         """Returns an output to the descriptor of a standard stream.
--- a/sesamecross/runtime/bounded_output_test.py
+++ b/sesamecross/runtime/bounded_output_test.py
@@ -119,6 +119,6 @@
     A gateway asked for the descriptor of a missing stream and exited. The
     lines must not go to a connection that may have that descriptor now.
     """
-    output = bounded_output.BoundedOutput.of_stream(None)
+    output = bounded_output.BoundedOutput.from_stream(None)
     assert output.write(LINE) == len(LINE)
     assert output.dropped == 0
--- a/sesamecross/runtime/logs.py
+++ b/sesamecross/runtime/logs.py
@@ -34,7 +34,7 @@
       **fixed: Fields added to every line, such as the instance.
     """
     if stream is None:
-        stream = bounded_output.BoundedOutput.of_stream(
+        stream = bounded_output.BoundedOutput.from_stream(
             sys.stderr, is_shared=True
         )
     if log_format == "text":
