--- a/sesamecross/core/serving.py
+++ b/sesamecross/core/serving.py
@@ -198,7 +198,7 @@
 class EngineReport:
     """An engine's report of its state.
 
-    The figures are some hundred ms old when they arrive.
+    It is some hundred ms old when it arrives.
 
     Attributes:
       born_ms: Start time of the engine's incarnation; 0 if unknown.
--- a/sesamecross/gateway/engine_search.py
+++ b/sesamecross/gateway/engine_search.py
@@ -54,7 +54,7 @@
     """The search of one request; continues after each failed attempt.
 
     Attributes:
-      choice: The engine found last, and the figures that decided for it.
+      choice: The engine found last, and the estimates behind that choice.
       retry_after_s: After an unsuccessful search, the delay after which the
         caller should retry.
     """
@@ -314,7 +314,7 @@
         return fields
 
     def log_fields(self) -> dict[str, object]:
-        """Returns the figures that decided where the request was sent."""
+        """Returns the values that decided where the request was sent."""
         fields: dict[str, object] = {
             "target": self._call.target,
             "waited_ms": round(self._model_wait_s * 1000),
--- a/sesamecross/gateway/lease_manager_test.py
+++ b/sesamecross/gateway/lease_manager_test.py
@@ -280,7 +280,7 @@
 
     The holder noted the release for its next report, but the mesh sends every
     0.1 s and was stopped before that. The candidates kept waiting, as they had
-    heard that the lease was valid for seconds, and nobody gave orders
+    been told that the lease was valid for seconds, and nobody gave orders
     meanwhile.
     """
     members = [
--- a/sesamecross/gateway/mesh.py
+++ b/sesamecross/gateway/mesh.py
@@ -587,7 +587,7 @@
         number = message.taken.get(self.roster.me.name, 0)
         taken = self._unconfirmed_reports.get(number)
         own = [taken] if taken is not None else []
-        self._set_peer_figures(
+        self._set_peer_totals(
             report_totals.aggregate([message]), report_totals.aggregate(own)
         )
 
@@ -599,14 +599,14 @@
             return
         sources = self._reports.fresh(now_s) + self._summaries.fresh(now_s)
         own = [self._last_report] if self._last_report is not None else []
-        self._set_peer_figures(
+        self._set_peer_totals(
             report_totals.aggregate(sources), report_totals.aggregate(own)
         )
 
-    def _set_peer_figures(
+    def _set_peer_totals(
         self, fleet: report_totals.Totals, own: report_totals.Totals
     ) -> None:
-        """Sets the other instances' figures at each upstream.
+        """Sets the other instances' totals at each upstream.
 
         These are the fleet's totals less this instance's own part.
         """
--- a/sesamecross/gateway/placement_controller_engine_exit_test.py
+++ b/sesamecross/gateway/placement_controller_engine_exit_test.py
@@ -146,8 +146,8 @@
         loop.close()
     assert not [line for line in lines if line.get("exc_info")]
     held = {
-        place.upstream: place.targets
+        placement.upstream: placement.targets
         for message in mesh.published
-        for place in message.engines
+        for placement in message.engines
     }
     assert held["e2"] == [MODEL]
--- a/sesamecross/gateway/placement_controller_test.py
+++ b/sesamecross/gateway/placement_controller_test.py
@@ -194,7 +194,7 @@
 def test_odd_spec_of_one_service_does_not_stop_others(odd):
     """Guards against one service's odd specification that stops all orders.
 
-    A configuration gave one service a figure for which planning failed on each
+    A configuration gave one service a value for which planning failed on each
     attempt. All services were planned together, so the controller failed too,
     and after half a minute its instance; the next holders then failed in the
     same way.
--- a/sesamecross/operators/fleet.py
+++ b/sesamecross/operators/fleet.py
@@ -70,7 +70,7 @@
     def statuses(self) -> dict[str, messages.StatusReply | None]:
         """Returns the status by instance, None if a steward does not answer."""
         return _run_with_signals_blocked(
-            self._ask_all(lambda: messages.StatusRequest(uuid.uuid4().hex))
+            self._query_all(lambda: messages.StatusRequest(uuid.uuid4().hex))
         )
 
     def events(
@@ -78,7 +78,7 @@
     ) -> tuple[list[timeline.TimelineEvent], list[str]]:
         """Returns all available events, and the names of missing sources."""
         replies = _run_with_signals_blocked(
-            self._ask_all(
+            self._query_all(
                 lambda: messages.EventsRequest(uuid.uuid4().hex, limit, call_id)
             )
         )
@@ -95,27 +95,27 @@
                     events.append(event)
         return events, missing
 
-    async def _ask_all(
+    async def _query_all(
         self, request: collections.abc.Callable[[], object]
     ) -> dict[str, object]:
         semaphore = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
-        async def ask(address: str) -> object:
+        async def query(address: str) -> object:
             async with semaphore:
                 try:
                     return await asyncio.wait_for(
-                        self._ask(address, request()), REPLY_TIMEOUT_S
+                        self._query(address, request()), REPLY_TIMEOUT_S
                     )
                 except (streams.StreamClosedError, TimeoutError):
                     return None
 
         names = self.instances
         replies = await asyncio.gather(
-            *(ask(self._addresses[name]) for name in names)
+            *(query(self._addresses[name]) for name in names)
         )
         return dict(zip(names, replies, strict=True))
 
-    async def _ask(self, address: str, request: object) -> object:
+    async def _query(self, address: str, request: object) -> object:
         stream = await streams.connect(
             address, self._shared_key, "operator", "operator", self._recorder
         )
--- a/sesamecross/operators/interruption_test.py
+++ b/sesamecross/operators/interruption_test.py
@@ -104,7 +104,7 @@
 ):
     """Guards against a wrong exit code of an interrupted change.
 
-    An interrupt ended `publish` with code 0, whatever the fate of the change;
+    An interrupt ended `publish` with code 0, whatever became of the change;
     a closed terminal ended it without output. Scripts treated unpublished
     changes as published, and the reverse. Only the command knows whether the
     record was sent to the log; it now prints what is known at that stage.
--- a/sesamecross/ops/claim_group.py
+++ b/sesamecross/ops/claim_group.py
@@ -30,7 +30,7 @@
 from sesamecross.ops import claims
 from sesamecross.ops import groups
 
-# A member that heard neither from the log nor from any witness for this long
+# A member that received nothing from the log or any witness for this long
 # is isolated (`dark` in messages). A witness proves that a member died in
 # contact only within half of it. Only here does elapsed time count (a rate,
 # never the time of day), and it can only clear a doubt.
--- a/sesamecross/ops/estimates.py
+++ b/sesamecross/ops/estimates.py
@@ -1,6 +1,6 @@
 """Estimates an upstream's latency from the calls that this entry relayed.
 
-Declared figures are guesses, engines differ, and reports lag. The time between
+Declared values are guesses, engines differ, and reports lag. The time between
 tokens grows about linearly with the calls in the batch, and the time to the
 first token with the uncached prompt tokens. Both lines are fitted by least
 squares with a forgetting factor, starting from plausible values.
--- a/sesamecross/ops/fleet/lease.py
+++ b/sesamecross/ops/fleet/lease.py
@@ -154,14 +154,14 @@
     # -- next action ---------------------------------------------------
 
     def next_action(
-        self, now_s: float, rank: int, holder_heard: bool
+        self, now_s: float, rank: int, is_holder_live: bool
     ) -> Action:
         """Returns what to do now.
 
         Args:
           now_s: Time of a clock that includes suspension.
           rank: This instance's position among the candidates, from 0.
-          holder_heard: Whether other instances hear the holder, and it reports
+          holder_heard: Whether other instances reach the holder, and it reports
             that its lease is valid.
         """
         if self._is_released:
@@ -176,7 +176,7 @@
             if now_s - self._sent_s < RENEW_INTERVAL_S:
                 return Idle()
             return self._write(now_s)
-        if holder_heard and not self._has_holder_exited():
+        if is_holder_live and not self._has_holder_exited():
             return Idle()
         if self._record is None:
             return self._read_if_due(now_s)
--- a/sesamecross/ops/fleet/lease_test.py
+++ b/sesamecross/ops/fleet/lease_test.py
@@ -80,12 +80,12 @@
     @stateful.rule(
         name=st.sampled_from(NAMES),
         outcome=st.sampled_from(("done", "lost", "late", "refused", "away")),
-        heard=st.booleans(),
+        is_holder_live=st.booleans(),
     )
-    def action(self, name, outcome, heard):
+    def action(self, name, outcome, is_holder_live):
         machine = self.machines[name]
         rank = NAMES.index(name)
-        match machine.next_action(self.now_s, rank, heard):
+        match machine.next_action(self.now_s, rank, is_holder_live):
             case lease.ReadLease():
                 if outcome in ("done", "late"):
                     machine.read(self.record, self.end, self.now_s)
--- a/sesamecross/ops/fleet/pacer.py
+++ b/sesamecross/ops/fleet/pacer.py
@@ -6,10 +6,10 @@
 are late at once. If the prompts are spread out a little, most of the burst is
 still on time, and so are the running streams.
 
-One instance paces each engine. An instance that wants to send a prompt there
-asks it, and may send when the prompts ahead have had their time. Of the waiting
-requests, those that can still be on time go first, by earliest due time; those
-that are late anyway follow.
+One instance paces each engine. An instance that has a prompt for that engine
+sends a request to the pacer, and may send the prompt when the prompts ahead
+have had their time. Of the waiting requests, those that can still be on time go
+first, by earliest due time; those that are late anyway follow.
 
 Measurements behind the limits: an event of six tokens takes six steps. With
 prompts between the steps at the full prefill rate of 38 tokens per millisecond
@@ -20,8 +20,8 @@
 When more prompts arrive than the engine can prefill, a late request queues
 behind all that are not late and its turn never comes. Such requests were held
 for 1.7 s and then refused: 340 of the 1,950 refusals of an overloaded day. So a
-request is refused as soon as its turn is expected after its caller's patience
-ends.
+request is refused as soon as its turn is expected after its caller has given
+up.
 
 A nearly full batch admits no more prompts until streams end. Each stream makes
 the steps of all others longer, and prompts come between the steps. With three
@@ -45,7 +45,7 @@
 # A prompt not reported as prefilled by then no longer counts: its sender is
 # gone, or the report was lost.
 PREFILL_TIMEOUT_S = 1.5
-# Requests that wait longer are dropped; their senders have asked elsewhere.
+# Requests that wait longer are dropped; their senders have tried elsewhere.
 MAX_WAIT_S = 4.0
 MIN_CHECK_INTERVAL_S = 0.005
 # Maximum number of streams at an engine, see above: as many as bring a third of
@@ -153,7 +153,7 @@
         lost.
 
         Args:
-          key: The asking instance and the number of its request.
+          key: The requesting instance and the number of its request.
           tokens: Prompt tokens that the engine would have to prefill.
           due_s: When it has to be sent at the latest to be on time.
           until_s: When its caller stops waiting.
--- a/sesamecross/ops/fleet/pacer_test.py
+++ b/sesamecross/ops/fleet/pacer_test.py
@@ -37,13 +37,13 @@
     while now_s < until_s:
         decisions = [pacer.grant(batch(), now_s)]
         while queue and queue[0][1][0] <= now_s:
-            number, (at_s, tokens, spare_s, patience_s) = queue.pop(0)
+            number, (at_s, tokens, spare_s, wait_limit_s) = queue.pop(0)
             decisions.append(
                 pacer.request(
                     key(number),
                     tokens,
                     at_s + spare_s,
-                    at_s + patience_s,
+                    at_s + wait_limit_s,
                     batch(),
                     now_s,
                 )
--- a/sesamecross/ops/fleet/reachability.py
+++ b/sesamecross/ops/fleet/reachability.py
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Reachability:
-    """When one instance last heard from an upstream, or failed to reach it.
+    """When an upstream last responded to one instance, or was unreachable.
 
     Attributes:
       streaming: This instance's streams there that have begun.
--- a/sesamecross/ops/fleet/report_totals.py
+++ b/sesamecross/ops/fleet/report_totals.py
@@ -2,7 +2,7 @@
 
 A hub keeps the latest report of each member and the latest summary of each
 other zone. Totals are computed from these, so a lost or duplicated datagram
-does not distort them. A sender's figures expire if it does not renew them.
+does not distort them. A sender's reports expire if it does not renew them.
 """
 
 from collections.abc import Iterable
--- a/sesamecross/ops/fleet/roster.py
+++ b/sesamecross/ops/fleet/roster.py
@@ -12,11 +12,11 @@
 from sesamecross.core import fleet_messages as fm
 from sesamecross.utils import rendezvous
 
-# An instance not heard from for this long is regarded as dead. Members send at
+# An instance silent for this long is regarded as dead. Members send at
 # least every HEARTBEAT_INTERVAL_S (0.4 s); three in a row may be lost.
 LIVENESS_TIMEOUT_S = 1.6
 HEARTBEAT_INTERVAL_S = 0.4
-# Registered instances that were never heard from may be a hub for this long
+# Registered instances that have sent no message may be a hub for this long
 # after this instance's start: the instances of a deployment start at about the
 # same time.
 STARTUP_GRACE_S = 3.0
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True)
 class KnownMember:
-    """An instance, and when it was last heard from."""
+    """An instance, and when it was last known to be alive."""
 
     member: fm.Member
     last_heartbeat_s: float | None
@@ -47,7 +47,7 @@
                 self._update(member, None)
 
     def on_heartbeat(self, member: fm.Member, now_s: float) -> bool:
-        """Records a message from an instance, or a hub's report that it lives.
+        """Records a message from an instance, or a hub's report of it.
 
         Returns:
           False if it is an earlier incarnation of an instance, or this one.
@@ -78,7 +78,7 @@
         return known.member if known else None
 
     def is_alive(self, name: str, now_s: float) -> bool:
-        """Whether an instance was heard from recently."""
+        """Whether a message or report of an instance arrived recently."""
         if name == self.me.name:
             return True
         known = self._known.get(name)
--- a/sesamecross/ops/fleet/wait_policy.py
+++ b/sesamecross/ops/fleet/wait_policy.py
@@ -11,11 +11,11 @@
 
 # Callers give up on a stream after the longest of these: a time in seconds, a
 # multiple of the latency objective, and a multiple of the maximum gap between
-# events. The platform defines these figures.
-PATIENCE_S = 2.0
-PATIENCE_OBJECTIVES = 4.0
-PATIENCE_GAPS = 8.0
-# Deducted from the caller's patience for the round trip and the prefill.
+# events. The platform defines these values.
+MIN_FIRST_EVENT_TIMEOUT_S = 2.0
+FIRST_EVENT_TIMEOUT_OBJECTIVES = 4.0
+FIRST_EVENT_TIMEOUT_GAPS = 8.0
+# Deducted from the caller's timeout for the round trip and the prefill.
 SEND_MARGIN_S = 0.3
 # A request for a model without a planned load waits this long for one: the
 # round trip to the lease holder, between regions, and the engine's answer to
@@ -28,7 +28,8 @@
 # After this long without requests for a missing model, the next request waits
 # for a planned load again.
 MISS_RESET_S = 1.0
-# A request whose adapter is missing waits this share of its patience for it.
+# A request whose adapter is missing waits for it for this share of the time
+# from its arrival to its send deadline.
 ADAPTER_WAIT_SHARE = 0.35
 # Time after which a request that uses an adapter has probably ended.
 ADAPTER_RETRY_AFTER_S = 2.0
@@ -54,14 +55,14 @@
     after_s: float
 
 
-def patience_s(route: serving.Route) -> float:
+def first_event_timeout_s(route: serving.Route) -> float:
     """Returns how long a caller waits for the first event."""
     if route.kind is not serving.RouteKind.STREAM:
         return route.timeout_s
     return max(
-        PATIENCE_S,
-        PATIENCE_OBJECTIVES * route.objective_s,
-        PATIENCE_GAPS * route.gap_s,
+        MIN_FIRST_EVENT_TIMEOUT_S,
+        FIRST_EVENT_TIMEOUT_OBJECTIVES * route.objective_s,
+        FIRST_EVENT_TIMEOUT_GAPS * route.gap_s,
     )
 
 
@@ -69,7 +70,7 @@
     route: serving.Route, arrived_s: float, ends_s: float
 ) -> float:
     """Returns when a request can be sent at the latest to still be served."""
-    return min(ends_s, arrived_s + patience_s(route)) - SEND_MARGIN_S
+    return min(ends_s, arrived_s + first_event_timeout_s(route)) - SEND_MARGIN_S
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/sesamecross/ops/ledger.py
+++ b/sesamecross/ops/ledger.py
@@ -51,7 +51,7 @@
     """Returns one engine's memory account.
 
     Args:
-      declared_mib: Capacity by configuration. The engine's own figure is used
+      declared_mib: Capacity by configuration. The engine's own value is used
         where it is smaller.
       report: The engine's report, requested after each order that is not among
         `unresolved` had been resolved.
--- a/sesamecross/ops/membership.py
+++ b/sesamecross/ops/membership.py
@@ -12,11 +12,11 @@
 from sesamecross.core import data
 from sesamecross.ops import overlay
 
-# After each return from suspicion a member must be heard for longer before it
-# counts as alive again; the factor doubles up to this.
+# After each return from suspicion a member must send heartbeats for longer
+# before it counts as alive again; the factor doubles up to this.
 _MAX_FLAP_DAMPING = 16
-# A member heard without a break for this many suspicion times has its flap
-# count reset.
+# A member whose heartbeats arrived without a break for this many suspicion
+# times has its flap count reset.
 _FLAP_RESET_FACTOR = 20
 
 
@@ -47,7 +47,7 @@
 @dataclasses.dataclass(slots=True)
 class _Peer:
     member: data.Member
-    last_heard_ms: int
+    last_heartbeat_ms: int
     state: PeerState = PeerState.ALIVE
     own_vote: bool = False
     votes: dict[str, bool] = dataclasses.field(default_factory=dict)
@@ -89,9 +89,9 @@
         return sorted(n for n, m in alive.items() if m.zone == self._me.zone)
 
     def state_of(self, instance: str) -> tuple[PeerState, int] | None:
-        """Returns a member's state and when it was last heard, in ms."""
+        """Returns a member's state and the time of its last heartbeat in ms."""
         peer = self._peers.get(instance)
-        return (peer.state, peer.last_heard_ms) if peer else None
+        return (peer.state, peer.last_heartbeat_ms) if peer else None
 
     def add_member(self, member: data.Member, now_ms: int) -> bool:
         """Adds a member named by the log, a peer or the platform.
@@ -124,9 +124,9 @@
         peer = self._peers.get(member.incarnation.instance)
         if peer is None:
             return []
-        if now_ms - peer.last_heard_ms > self._suspect_ms:
+        if now_ms - peer.last_heartbeat_ms > self._suspect_ms:
             peer.continuous_since_ms = now_ms
-        peer.last_heard_ms = now_ms
+        peer.last_heartbeat_ms = now_ms
         if leaving and peer.state is not PeerState.LEAVING:
             peer.state = PeerState.LEAVING
             return [BeliefChanged(peer.member, peer.state)]
@@ -169,11 +169,11 @@
         me = self._me.incarnation.instance
         if me not in watchers:
             return []
-        is_silent = now_ms - peer.last_heard_ms > self._suspect_ms
+        is_silent = now_ms - peer.last_heartbeat_ms > self._suspect_ms
         damping = min(2**peer.flaps, _MAX_FLAP_DAMPING)
         continuous_ms = now_ms - peer.continuous_since_ms
         if peer.own_vote and not is_silent:
-            # A flapping member: heard again, but not for long enough yet.
+            # A flapping member: heartbeats are back, but not for long enough.
             is_silent = continuous_ms < self._suspect_ms * (damping - 1)
         if (
             continuous_ms > self._suspect_ms * _FLAP_RESET_FACTOR
--- a/sesamecross/ops/placement_test.py
+++ b/sesamecross/ops/placement_test.py
@@ -88,8 +88,8 @@
     assert "makes room for b" in found.moves[0].reason
 
 
-def test_two_holders_that_hear_differently_load_nothing_twice():
-    # After a cold start the holders of two zones have heard of different
+def test_two_holders_with_different_views_load_nothing_twice():
+    # After a cold start the holders of two zones know of different
     # engines. The assignment depends on the declarations alone, so what one
     # holder loads the other does not.
     declared = declarations(
--- a/sesamecross/ops/timeline.py
+++ b/sesamecross/ops/timeline.py
@@ -137,7 +137,7 @@
 
     def admits(self, event: TimelineEvent) -> bool:
         """Tells whether the event matches."""
-        wanted = (
+        criteria = (
             (self.call_id, event.call_id),
             (self.model, event.model),
             (self.upstream, event.upstream),
@@ -146,7 +146,9 @@
         )
         if event.wall_ms < self.since_ms:
             return False
-        return all(not want or want == has for want, has in wanted)
+        return all(
+            not expected or expected == actual for expected, actual in criteria
+        )
 
 
 def merge(
--- a/sesamecross/platform/program.py
+++ b/sesamecross/platform/program.py
@@ -42,7 +42,7 @@
 
     Args:
       log_level: The lowest level that is logged.
-      inbox: Receives the process's signals.
+      pending_signals: The process's signals.
 
     Returns:
       The exit code.
--- a/sesamecross/runtime/launch.py
+++ b/sesamecross/runtime/launch.py
@@ -33,7 +33,7 @@
       description: The description in the program's help.
       settings_class: The dataclass of its settings.
       make_hooks: Creates the process's hooks from valid settings.
-      inbox: The process's signals.
+      pending_signals: The process's signals.
 
     Returns:
       The exit code.
