--- a/sesamecross/gateway/mesh.py
+++ b/sesamecross/gateway/mesh.py
@@ -517,7 +517,7 @@
         now_s = asyncio.get_running_loop().time()
         if message.me.name == self.roster.me.name:
             return
-        if not self.roster.heard(message.me, now_s):
+        if not self.roster.on_heartbeat(message.me, now_s):
             self._count("earlier-life")
             return
         match message:
@@ -574,7 +574,7 @@
     def _on_summary(self, message: fm.Summary, now_s: float) -> None:
         if self._summaries.take(message, now_s):
             for member in message.members:
-                self.roster.heard(member, now_s)
+                self.roster.on_heartbeat(member, now_s)
             self._on_lease(message.lease, now_s)
 
     def _on_view(self, message: fm.View, now_s: float) -> None:
@@ -582,12 +582,12 @@
             hub = message.me
             self._hub_progress.record_position(hub.name, hub.upstreams, now_s)
         for member in message.members:
-            self.roster.heard(member, now_s)
+            self.roster.on_heartbeat(member, now_s)
         self._on_lease(message.lease, now_s)
         number = message.taken.get(self.roster.me.name, 0)
         taken = self._unconfirmed_reports.get(number)
         own = [taken] if taken is not None else []
-        self._set_peer_figures(
+        self._set_peer_totals(
             report_totals.aggregate([message]), report_totals.aggregate(own)
         )
 
@@ -599,14 +599,14 @@
             return
         sources = self._reports.fresh(now_s) + self._summaries.fresh(now_s)
         own = [self._last_report] if self._last_report is not None else []
-        self._set_peer_figures(
+        self._set_peer_totals(
             report_totals.aggregate(sources), report_totals.aggregate(own)
         )
 
-    def _set_peer_figures(
+    def _set_peer_totals(
         self, fleet: report_totals.Totals, own: report_totals.Totals
     ) -> None:
-        """Sets the other instances' figures at each upstream.
+        """Sets the other instances' totals at each upstream.
 
         These are the fleet's totals less this instance's own part.
         """
--- a/sesamecross/ops/fleet/roster.py
+++ b/sesamecross/ops/fleet/roster.py
@@ -12,11 +12,11 @@
 from sesamecross.core import fleet_messages as fm
 from sesamecross.utils import rendezvous
 
-# An instance not heard from for this long is regarded as dead. Members send at
+# An instance silent for this long is regarded as dead. Members send at
 # least every HEARTBEAT_INTERVAL_S (0.4 s); three in a row may be lost.
 LIVENESS_TIMEOUT_S = 1.6
 HEARTBEAT_INTERVAL_S = 0.4
-# Registered instances that were never heard from may be a hub for this long
+# Registered instances that have sent no message may be a hub for this long
 # after this instance's start: the instances of a deployment start at about the
 # same time.
 STARTUP_GRACE_S = 3.0
@@ -24,10 +24,10 @@
 
 @dataclasses.dataclass(slots=True)
 class KnownMember:
-    """An instance, and when it was last heard from."""
+    """An instance, and when it was last known to be alive."""
 
     member: fm.Member
-    heard_s: float | None
+    last_heartbeat_s: float | None
 
 
 class Roster:
@@ -46,8 +46,8 @@
             if member.name != self.me.name:
                 self._update(member, None)
 
-    def heard(self, member: fm.Member, now_s: float) -> bool:
-        """Records a message from an instance, or a hub's report that it lives.
+    def on_heartbeat(self, member: fm.Member, now_s: float) -> bool:
+        """Records a message from an instance, or a hub's report of it.
 
         Returns:
           False if it is an earlier incarnation of an instance, or this one.
@@ -56,18 +56,20 @@
             return False
         return self._update(member, now_s)
 
-    def _update(self, member: fm.Member, heard_s: float | None) -> bool:
+    def _update(
+        self, member: fm.Member, last_heartbeat_s: float | None
+    ) -> bool:
         known = self._known.get(member.name)
         if known is None:
-            self._known[member.name] = KnownMember(member, heard_s)
+            self._known[member.name] = KnownMember(member, last_heartbeat_s)
             return True
         if member.incarnation < known.member.incarnation:
             return False
         if member.incarnation > known.member.incarnation:
-            known.heard_s = None
+            known.last_heartbeat_s = None
         known.member = member
-        if heard_s is not None:
-            known.heard_s = heard_s
+        if last_heartbeat_s is not None:
+            known.last_heartbeat_s = last_heartbeat_s
         return True
 
     def get(self, name: str) -> fm.Member | None:
@@ -76,14 +78,14 @@
         return known.member if known else None
 
     def is_alive(self, name: str, now_s: float) -> bool:
-        """Whether an instance was heard from recently."""
+        """Whether a message or report of an instance arrived recently."""
         if name == self.me.name:
             return True
         known = self._known.get(name)
         return (
             known is not None
-            and known.heard_s is not None
-            and now_s - known.heard_s < LIVENESS_TIMEOUT_S
+            and known.last_heartbeat_s is not None
+            and now_s - known.last_heartbeat_s < LIVENESS_TIMEOUT_S
         )
 
     def alive(self, now_s: float) -> list[fm.Member]:
@@ -111,7 +113,7 @@
             if known.member.zone == zone
             and (
                 self.is_alive(name, now_s)
-                or (is_early and known.heard_s is None)
+                or (is_early and known.last_heartbeat_s is None)
             )
         ]
         if zone == self.me.zone:
